--- a/src/main/java/io/tansystack/cli/Controller.java
+++ b/src/main/java/io/tansystack/cli/Controller.java
@@ -1,34 +1,34 @@
 package io.tansystack.cli;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.cluster.OwnLease;
-import io.tansystack.cluster.SlotDuty;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.ClusterStateDelta;
+import io.tansystack.cluster.ControllerLease;
+import io.tansystack.cluster.RecordGarbageCollector;
+import io.tansystack.cluster.SlotManager;
 import io.tansystack.cluster.StallDetector;
-import io.tansystack.cluster.Sweep;
-import io.tansystack.cluster.TimeOfDay;
-import io.tansystack.cluster.Touched;
-import io.tansystack.cluster.World;
-import io.tansystack.fleet.FleetDuty;
-import io.tansystack.fleet.TypeDuty;
-import io.tansystack.http.HttpCaller;
+import io.tansystack.cluster.WallClockConverter;
+import io.tansystack.fleet.Autoscaler;
+import io.tansystack.fleet.MachineTypeCatalog;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
 import io.tansystack.http.HttpServer.Reply;
-import io.tansystack.http.Loop;
-import io.tansystack.jobs.JobDuty;
-import io.tansystack.jobs.Overseer;
+import io.tansystack.jobs.JobHealthMonitor;
+import io.tansystack.jobs.JobScheduler;
 import io.tansystack.jobs.UserApi;
 import io.tansystack.peers.PeerLink;
-import io.tansystack.recovery.Recovery;
-import io.tansystack.recovery.Start;
+import io.tansystack.recovery.RecoveryContext;
+import io.tansystack.recovery.StartupLogger;
 import io.tansystack.schedule.Snapshot.MachineState;
 import io.tansystack.settings.OperatorSettings;
 import io.tansystack.settings.PlatformSettings;
 import io.tansystack.store.RateBudget;
 import io.tansystack.store.StoreClient;
 import io.tansystack.store.Watcher;
-import io.tansystack.wire.Answers;
 import io.tansystack.wire.Cbor;
-import io.tansystack.workers.View;
-import io.tansystack.workers.WorkerDesk;
+import io.tansystack.wire.Responses;
+import io.tansystack.workers.MachineView;
+import io.tansystack.workers.WorkerManager;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.HashMap;
@@ -51,26 +51,26 @@
 
   private static final Duration SUMMARY_EVERY = Duration.ofSeconds(30);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final PlatformSettings settings;
   private final String boot;
-  private final World world;
+  private final ClusterState world;
   private final StoreClient store;
   private final Watcher watcher;
   private final StallDetector stall;
-  private final OwnLease lease;
+  private final ControllerLease lease;
   private final PeerLink peers;
-  private final SlotDuty slots;
-  private final TypeDuty types;
-  private final WorkerDesk desk;
-  private final JobDuty jobs;
-  private final FleetDuty fleet;
+  private final SlotManager slots;
+  private final MachineTypeCatalog types;
+  private final WorkerManager desk;
+  private final JobScheduler jobs;
+  private final Autoscaler fleet;
   private final UserApi users;
-  private final Sweep sweep;
-  private final Overseer overseer;
-  private final Start start;
+  private final RecordGarbageCollector sweep;
+  private final JobHealthMonitor overseer;
+  private final StartupLogger start;
   private final Latencies latencies;
-  private final Map<String, View> views = new HashMap<>();
+  private final Map<String, MachineView> views = new HashMap<>();
   private Duration heardUntil;
   private long ticks;
 
@@ -83,8 +83,8 @@
   private final byte[] empty = Cbor.encode(Cbor.map());
 
   public Controller(
-      Loop loop,
-      HttpCaller caller,
+      EventLoop loop,
+      HttpClient caller,
       PlatformSettings settings,
       OperatorSettings operator,
       InstantSource clock,
@@ -105,21 +105,21 @@
             settings.state(),
             new RateBudget(share, Math.max(2, share), loop.now()),
             random);
-    this.world = new World(this::worldChanged);
+    this.world = new ClusterState(this::worldChanged);
     double watches = settings.store().rps() * 0.2 / size;
     this.watcher =
         new Watcher(
             store,
             loop,
-            World.PREFIX,
+            ClusterState.PREFIX,
             Duration.ofMillis((long) (1000 / watches)),
             world,
             this::synced);
     Duration life =
-        OwnLease.lifeFor(settings.workers().cancel(), settings.workers().lease());
-    Duration recordLife = OwnLease.recordLifeFor(life, settings.workers().lease());
+        ControllerLease.lifeFor(settings.workers().cancel(), settings.workers().lease());
+    Duration recordLife = ControllerLease.recordLifeFor(life, settings.workers().lease());
     this.lease =
-        new OwnLease(
+        new ControllerLease(
             store,
             loop,
             label,
@@ -143,20 +143,20 @@
             this::fleetNews,
             this::heardOfFleet,
             this::informed);
-    this.slots = new SlotDuty(loop, store, world, lease, label, boot, size, peers::looksDown);
-    Recovery recovery =
-        Recovery.of(
+    this.slots = new SlotManager(loop, store, world, lease, label, boot, size, peers::looksDown);
+    RecoveryContext recovery =
+        RecoveryContext.of(
             loop,
             store,
             world,
             settings,
             clock,
             recordLife,
-            new Recovery.Contact(
+            new RecoveryContext.PeerHealth(
                 peers::unfitForWorkers, peers::heard, peers::refuses, peers::silent));
-    this.types = new TypeDuty(loop, store, world, caller, settings);
+    this.types = new MachineTypeCatalog(loop, store, world, caller, settings);
     this.desk =
-        new WorkerDesk(
+        new WorkerManager(
             loop,
             store,
             caller,
@@ -170,27 +170,27 @@
             peers::unfitForWorkers,
             recovery,
             watcher::completeBefore,
-            new TimeOfDay(loop, clock, settings.skew()),
+            new WallClockConverter(loop, clock, settings.skew()),
             types::get,
             views::get,
             this::viewOfOwn);
     this.jobs =
-        new JobDuty(
+        new JobScheduler(
             loop, store, world, lease, slots, settings, views::get, types::get, this::booting,
             pass -> latencies.measure("pass", pass), clock, recovery.coverage(),
             peer -> peers.heard(peer) && !peers.unfitForWorkers(peer));
     this.fleet =
-        new FleetDuty(
+        new Autoscaler(
             loop, caller, store, world, lease, stall, slots, types, settings, operator, desk,
             views::get, jobs, recovery.coverage());
     this.users =
         new UserApi(
             loop, store, world, settings, boot, clock, types::all, this::storeAnswers,
             watcher::confirm);
-    this.sweep = new Sweep(loop, store, world, lease, slots);
-    this.start = new Start(loop, world, label, recovery, desk::standing);
+    this.sweep = new RecordGarbageCollector(loop, store, world, lease, slots);
+    this.start = new StartupLogger(loop, world, label, recovery, desk::standing);
     this.overseer =
-        new Overseer(
+        new JobHealthMonitor(
             loop,
             clock,
             world,
@@ -272,7 +272,7 @@
         latencies.summary());
   }
 
-  private void worldChanged(Touched touched) {
+  private void worldChanged(ClusterStateDelta touched) {
     latencies.measure(
         "change",
         () -> {
@@ -307,24 +307,24 @@
     return fleet.booting();
   }
 
-  private void viewOfOwn(View view) {
+  private void viewOfOwn(MachineView view) {
     keep(view);
     peers.publish(view);
   }
 
-  private List<View> told() {
+  private List<MachineView> told() {
     return desk.told();
   }
 
-  private void viewFromPeer(View view) {
+  private void viewFromPeer(MachineView view) {
     // What we own we know better ourselves.
     if (desk.silentFor(view.report().machine()) == null) {
       keep(view);
     }
   }
 
-  private void keep(View view) {
-    View old = views.get(view.report().machine());
+  private void keep(MachineView view) {
+    MachineView old = views.get(view.report().machine());
     if (old == null || view.newerThan(old)) {
       views.put(view.report().machine(), view);
       jobs.viewChanged(old, view);
@@ -348,10 +348,10 @@
       } else if (post && rest.endsWith("/abort")) {
         users.abort(rest.substring(0, rest.length() - "/abort".length()), latencies.timed("abort", reply));
       } else {
-        reply.send(405, Cbor.encode(Answers.error("no such method")));
+        reply.send(405, Cbor.encode(Responses.error("no such method")));
       }
     } else {
-      reply.send(404, Cbor.encode(Answers.error("no such path")));
+      reply.send(404, Cbor.encode(Responses.error("no such path")));
     }
   }
 
--- a/src/main/java/io/tansystack/cli/ControllerProcess.java
+++ b/src/main/java/io/tansystack/cli/ControllerProcess.java
@@ -1,8 +1,8 @@
 package io.tansystack.cli;
 
 import io.tansystack.http.HttpServer;
-import io.tansystack.http.UndertowCaller;
-import io.tansystack.http.XnioLoop;
+import io.tansystack.http.UndertowHttpClient;
+import io.tansystack.http.XnioEventLoop;
 import io.tansystack.peers.PeerLink;
 import io.tansystack.settings.OperatorSettings;
 import io.tansystack.settings.PlatformSettings;
@@ -38,8 +38,8 @@
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
     DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER, 64, 0);
-    XnioLoop loop = new XnioLoop(worker.getIoThread());
-    UndertowCaller caller = new UndertowCaller(worker.getIoThread(), loop, buffers, 12);
+    XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
+    UndertowHttpClient caller = new UndertowHttpClient(worker.getIoThread(), loop, buffers, 12);
     Random random = new Random(new SecureRandom().nextLong() ^ System.nanoTime());
     Controller controller =
         new Controller(loop, caller, settings, operator, InstantSource.system(), random);
--- a/src/main/java/io/tansystack/cli/Latencies.java
+++ b/src/main/java/io/tansystack/cli/Latencies.java
@@ -1,7 +1,7 @@
 package io.tansystack.cli;
 
+import io.tansystack.http.EventLoop;
 import io.tansystack.http.HttpServer.Reply;
-import io.tansystack.http.Loop;
 import java.time.Duration;
 import java.util.Map;
 import java.util.TreeMap;
@@ -10,10 +10,10 @@
 /** How long answers and the loop's duties take, by kind, summed up now and then in one line. */
 final class Latencies {
   private static final long HIGHEST_MICROS = 60_000_000;
-  private final Loop loop;
+  private final EventLoop loop;
   private final Map<String, Histogram> kinds = new TreeMap<>();
 
-  Latencies(Loop loop) {
+  Latencies(EventLoop loop) {
     this.loop = loop;
   }
 
--- a/src/main/java/io/tansystack/cli/Main.java
+++ b/src/main/java/io/tansystack/cli/Main.java
@@ -7,11 +7,11 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import picocli.CommandLine;
 
 /** The command line of the service. */
 @Command(
--- a/src/main/java/io/tansystack/cli/ScaleCommand.java
+++ b/src/main/java/io/tansystack/cli/ScaleCommand.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import io.tansystack.emulator.ScaleCell;
-import io.tansystack.emulator.ScaleCells;
+import io.tansystack.emulator.CellRun;
+import io.tansystack.emulator.MultiCellRun;
 import io.tansystack.emulator.ScaleResult;
 import io.tansystack.emulator.ScaleSettings;
 import io.tansystack.emulator.ScaleTable;
@@ -96,9 +96,9 @@
 
   private ScaleResult one(ScaleSettings settings, Path place)
       throws IOException, InterruptedException, SettingsException {
-    double limitMb = ScaleCells.memoryLimitMb();
-    try (ScaleCell only =
-        new ScaleCell(settings, cell, deployFile, place, limitMb, System.err::println)) {
+    double limitMb = MultiCellRun.memoryLimitMb();
+    try (CellRun only =
+        new CellRun(settings, cell, deployFile, place, limitMb, System.err::println)) {
       Runtime.getRuntime().addShutdownHook(new Thread(only::close));
       return only.run();
     }
@@ -106,7 +106,7 @@
 
   private ScaleResult many(ScaleSettings settings, Path place)
       throws IOException, InterruptedException {
-    try (ScaleCells all = new ScaleCells(settings, deployFile, place, System.err::println)) {
+    try (MultiCellRun all = new MultiCellRun(settings, deployFile, place, System.err::println)) {
       Runtime.getRuntime().addShutdownHook(new Thread(all::close));
       return all.run();
     }
--- a/src/main/java/io/tansystack/cluster/World.java
+++ b/src/main/java/io/tansystack/cluster/ClusterState.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.tansystack.records.JobRecord;
 import io.tansystack.store.Watcher;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Read;
-import io.tansystack.wire.StoreWire.Change;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.StoreProtocol.Change;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
@@ -26,8 +26,8 @@
  * The copy of all records in the state service, as of one revision. Every controller has the whole of
  * it: whoever owns a machine reads its launches here, whoever plans sees every placement of all.
  */
-public final class World implements Watcher.Listener {
-  private static final Logger log = LoggerFactory.getLogger(World.class);
+public final class ClusterState implements Watcher.Listener {
+  private static final Logger log = LoggerFactory.getLogger(ClusterState.class);
 
   /** Everything of this service stands under one prefix; the state service may have other users. */
   public static final String PREFIX = "ts/";
@@ -44,7 +44,7 @@
   public record Holder(String label, String boot, long version) {}
 
   /** What was asked of the cloud lately; read and written by who deals with it. */
-  public record Journal(ObjectNode value, long version) {}
+  public record RentalJournal(ObjectNode value, long version) {}
 
   /** A job's record with the version of its own key: 0 while it only stands among others' intake. */
   public record Job(JobRecord record, long version, int slot) {
@@ -54,7 +54,7 @@
 
     /** Hold while nobody has written a record of the job since this one. */
     public List<Condition> unchanged() {
-      return World.unchanged(id(), version);
+      return ClusterState.unchanged(id(), version);
     }
   }
 
@@ -65,23 +65,23 @@
   private final Map<String, Job> jobs = new TreeMap<>();
 
   private final Map<String, Job> jobIndex = new HashMap<>();
-  private final Machines machines = new Machines();
+  private final MachineRegistry machines = new MachineRegistry();
   private final Map<String, Long> teams = new HashMap<>();
   private Holder fleet;
-  private Journal rentals;
+  private RentalJournal rentals;
   private ObjectNode types;
-  private final Outcomes outcomes = new Outcomes();
+  private final FinishedJobs outcomes = new FinishedJobs();
   private final Map<String, Long> versions = new HashMap<>();
   private final PlacementIndex placements = new PlacementIndex(jobIndex::get);
-  private final Intakes intakes = new Intakes(jobIndex::get);
+  private final SubmissionBatches intakes = new SubmissionBatches(jobIndex::get);
   private Set<String> touchedJobs = new HashSet<>();
   private Set<String> touchedMachines = new HashSet<>();
   private Set<String> touchedPlacedOn = new HashSet<>();
   private boolean touchedControllers;
   private long revision = -1;
-  private final Consumer<Touched> changed;
+  private final Consumer<ClusterStateDelta> changed;
 
-  public World(Consumer<Touched> changed) {
+  public ClusterState(Consumer<ClusterStateDelta> changed) {
     this.changed = changed;
   }
 
@@ -117,7 +117,7 @@
 
   /** The record that accepts several jobs at once. */
   public static ObjectNode intake(Collection<JobRecord> records) {
-    return Intakes.write(records);
+    return SubmissionBatches.write(records);
   }
 
   public static String lotKey(String name) {
@@ -126,7 +126,7 @@
 
   /** The record that claims several machines at once. */
   public static ObjectNode lot(Collection<MachineRecord> records) {
-    return Machines.lot(records);
+    return MachineRegistry.lot(records);
   }
 
   public static String machineKey(String machine) {
@@ -137,7 +137,7 @@
     return PREFIX + "controllers/" + label;
   }
 
-  /** Who keeps the machines that a controller claimed, while it is away: see {@link Heirs}. */
+  /** Who keeps the machines that a controller claimed, while it is away: see {@link FailoverRecord}. */
   public static String heirsKey(String claimant) {
     return PREFIX + "heirs/" + claimant;
   }
@@ -184,8 +184,8 @@
   }
 
   private void tell() {
-    Touched touched =
-        new Touched(touchedJobs, touchedMachines, touchedPlacedOn, touchedControllers);
+    ClusterStateDelta touched =
+        new ClusterStateDelta(touchedJobs, touchedMachines, touchedPlacedOn, touchedControllers);
     touchedJobs = new HashSet<>();
     touchedMachines = new HashSet<>();
     touchedPlacedOn = new HashSet<>();
@@ -205,12 +205,13 @@
     }
     try {
       applyTyped(key.substring(PREFIX.length()), change.value(), change.version());
-    } catch (BadInput | NumberFormatException e) {
+    } catch (InvalidMessageException | NumberFormatException e) {
       log.error("record {} is unreadable and left alone: {}", key, e.getMessage());
     }
   }
 
-  private void applyTyped(String key, ObjectNode value, long version) throws BadInput {
+  private void applyTyped(String key, ObjectNode value, long version)
+      throws InvalidMessageException {
     int slash = key.indexOf('/');
     String kind = slash < 0 ? key : key.substring(0, slash);
     String name = key.substring(slash + 1);
@@ -222,7 +223,7 @@
             value == null
                 ? null
                 : new ControllerRecord(
-                    Read.text(value, "boot"), Read.text(value, "zone"), version));
+                    FieldReader.text(value, "boot"), FieldReader.text(value, "zone"), version));
         touchedControllers = true;
       }
       case "slots" -> {
@@ -232,7 +233,7 @@
         }
       }
       case "fleet" -> fleet = readHolder(value, version);
-      case "rentals" -> rentals = value == null ? null : new Journal(value, version);
+      case "rentals" -> rentals = value == null ? null : new RentalJournal(value, version);
       case "types" -> types = value;
       case "teams" -> put(teams, key.substring(slash + 1), value == null ? null : version);
       case "heirs" -> machines.putHeirs(name, value, version, touchedMachines);
@@ -260,10 +261,10 @@
     }
   }
 
-  private static Holder readHolder(ObjectNode value, long version) throws BadInput {
+  private static Holder readHolder(ObjectNode value, long version) throws InvalidMessageException {
     return value == null
         ? null
-        : new Holder(Read.text(value, "label"), Read.text(value, "boot"), version);
+        : new Holder(FieldReader.text(value, "label"), FieldReader.text(value, "boot"), version);
   }
 
   private static <V> void put(Map<String, V> map, String key, V value) {
@@ -300,7 +301,7 @@
   }
 
   /** Null if nothing was ever rented. */
-  public Journal rentals() {
+  public RentalJournal rentals() {
     return rentals;
   }
 
@@ -328,7 +329,7 @@
   }
 
   /** Jobs whose own records hold an outcome only and that no intake names, with their versions. */
-  Map<String, Outcomes.Standing> outcomes() {
+  Map<String, FinishedJobs.UnarchivedOutcome> outcomes() {
     return outcomes.standing(intakes::names);
   }
 
@@ -352,7 +353,7 @@
 
   /** What says that a machine is gone, whichever way it was claimed. */
   public Write gone(String name) {
-    return new Write(machineKey(name), machines.inLot(name) ? Machines.mark() : null, 0);
+    return new Write(machineKey(name), machines.inLot(name) ? MachineRegistry.mark() : null, 0);
   }
 
   /** Records that nobody needs any more: what accepted or claimed several, and marks of what is gone. */
@@ -370,7 +371,7 @@
     return teams.getOrDefault(team.replace(' ', '_'), 0L);
   }
 
-  public List<PlacementIndex.Placed> placedOn(String machine) {
+  public List<PlacementIndex.IndexedPlacement> placedOn(String machine) {
     return placements.on(machine);
   }
 
--- a/src/main/java/io/tansystack/cluster/Touched.java
+++ b/src/main/java/io/tansystack/cluster/ClusterStateDelta.java
@@ -9,5 +9,5 @@
  * @param placedOn machines on which something else is recorded than before
  * @param controllers whether controllers came, went or started anew
  */
-public record Touched(
+public record ClusterStateDelta(
     Set<String> jobs, Set<String> machines, Set<String> placedOn, boolean controllers) {}
--- a/src/main/java/io/tansystack/cluster/OwnLease.java
+++ b/src/main/java/io/tansystack/cluster/ControllerLease.java
@@ -1,8 +1,8 @@
 package io.tansystack.cluster;
 
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
-import io.tansystack.store.StoreClient.Result;
 import io.tansystack.store.Watcher;
 import java.time.Duration;
 import java.util.List;
@@ -15,8 +15,8 @@
  * controller that is cut off from the state service stops answering workers before a cancelled task
  * could outlive its time.
  */
-public final class OwnLease {
-  private static final Logger log = LoggerFactory.getLogger(OwnLease.class);
+public final class ControllerLease {
+  private static final Logger log = LoggerFactory.getLogger(ControllerLease.class);
 
   /** Steady clocks drift by 0.05% against each other; twice that, and a stall between check and use. */
   private static final double DRIFT = 0.001;
@@ -24,7 +24,7 @@
   private static final Duration MARGIN = Duration.ofMillis(500);
 
   private final StoreClient store;
-  private final Loop loop;
+  private final EventLoop loop;
   private final String label;
   private final String boot;
   private final String zone;
@@ -41,9 +41,9 @@
   private long registeredAt;
   private Duration renewedAt;
 
-  public OwnLease(
+  public ControllerLease(
       StoreClient store,
-      Loop loop,
+      EventLoop loop,
       String label,
       String boot,
       String zone,
@@ -127,14 +127,14 @@
   private void register() {
     store.commitUrgent(
         List.of(),
-        Ownership.registration(label, boot, zone, lease),
+        OwnershipConditions.registration(label, boot, zone, lease),
         Duration.ofSeconds(2),
         (result, revision) -> {
-          registered = result == Result.DONE;
+          registered = result == CommitResult.DONE;
           if (registered) {
             registeredAt = revision;
             log.info("registered as {} boot {} under lease {}", label, boot, lease);
-          } else if (result == Result.NO_LEASE) {
+          } else if (result == CommitResult.NO_LEASE) {
             lease = 0;
           }
         });
--- a/src/main/java/io/tansystack/cluster/Heirs.java
+++ b/src/main/java/io/tansystack/cluster/FailoverRecord.java
@@ -5,9 +5,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Read;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
 import java.util.List;
 import java.util.Map;
 
@@ -22,18 +22,18 @@
  * @param byZone labels of controllers by the zone of the machines that they take; under {@link #ELSEWHERE}
  *     those for machines of all other zones
  */
-public record Heirs(Map<String, List<String>> byZone, long version) {
+public record FailoverRecord(Map<String, List<String>> byZone, long version) {
   public static final String ELSEWHERE = "";
 
-  static Heirs read(ObjectNode value, long version) throws BadInput {
+  static FailoverRecord read(ObjectNode value, long version) throws InvalidMessageException {
     ImmutableMap.Builder<String, List<String>> byZone = ImmutableMap.builder();
-    ObjectNode zones = Read.map(value, "zones");
+    ObjectNode zones = FieldReader.map(value, "zones");
     for (Map.Entry<String, JsonNode> zone : zones.properties()) {
       ImmutableList.Builder<String> labels = ImmutableList.builder();
       zone.getValue().forEach(label -> labels.add(label.asText()));
       byZone.put(zone.getKey(), labels.build());
     }
-    return new Heirs(byZone.build(), version);
+    return new FailoverRecord(byZone.build(), version);
   }
 
   /** What is written under the key; the version comes with the write. */
--- a/src/main/java/io/tansystack/cluster/Outcomes.java
+++ b/src/main/java/io/tansystack/cluster/FinishedJobs.java
@@ -8,17 +8,17 @@
 
 /**
  * How jobs have ended. What is left of such a job stands under its own key for a while, and is then put
- * away under {@link World#endedKey}, which is no part of the copy. It is remembered for some time after,
+ * away under {@link ClusterState#endedKey}, which is no part of the copy. It is remembered for some time after,
  * since users ask about what has just ended; a final state never changes.
  */
-final class Outcomes {
+final class FinishedJobs {
   private static final int MAX_REMEMBERED = 50_000;
 
   /** An outcome that stands under the job's own key, of this version. */
-  record Standing(JobRecord.Phase phase, long version) {}
+  record UnarchivedOutcome(JobRecord.Phase phase, long version) {}
 
   private final LinkedHashMap<String, JobRecord.Phase> remembered = new LinkedHashMap<>();
-  private final Map<String, Standing> standing = new LinkedHashMap<>();
+  private final Map<String, UnarchivedOutcome> standing = new LinkedHashMap<>();
 
   /** The job is over; with placements left, its record is still to change. */
   void over(String id, JobRecord record, long version) {
@@ -27,7 +27,7 @@
       remembered.remove(remembered.keySet().iterator().next());
     }
     if (record.spec() == null) {
-      standing.put(id, new Standing(record.phase(), version));
+      standing.put(id, new UnarchivedOutcome(record.phase(), version));
     }
   }
 
@@ -38,12 +38,12 @@
 
   /** The final state, if the job is known to have one. */
   JobRecord.Phase phase(String id) {
-    Standing s = standing.get(id);
+    UnarchivedOutcome s = standing.get(id);
     return s == null ? remembered.get(id) : s.phase;
   }
 
   /** Those that stand under their own keys, and that nothing keeps there. */
-  Map<String, Standing> standing(Predicate<String> kept) {
+  Map<String, UnarchivedOutcome> standing(Predicate<String> kept) {
     return Maps.filterKeys(standing, id -> !kept.test(id));
   }
 }
--- a/src/main/java/io/tansystack/cluster/MachineRecord.java
+++ b/src/main/java/io/tansystack/cluster/MachineRecord.java
@@ -1,15 +1,15 @@
 package io.tansystack.cluster;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Read;
-import io.tansystack.wire.StoreWire.Condition;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.StoreProtocol.Condition;
 
 /**
  * A machine's record, as it counts.
  *
- * @param owner who gives it commands: who claimed it, or an heir of that one (see {@link Heirs})
+ * @param owner who gives it commands: who claimed it, or an heir of that one (see {@link FailoverRecord})
  * @param inLot whether it stands in a lot only, of which {@code version} is the version
  * @param claimant who claimed it under {@code version}
  * @param since the revision from which the owner holds it: that of the claim, or of the heirs' naming
@@ -42,22 +42,22 @@
   }
 
   static MachineRecord read(String name, ObjectNode value, long version, boolean inLot)
-      throws BadInput {
+      throws InvalidMessageException {
     return new MachineRecord(
         name,
-        Read.text(value, "owner"),
-        Read.text(value, "addr"),
-        Read.text(value, "type"),
-        Read.text(value, "zone"),
-        Read.flag(value, "spot"),
-        Read.flagOr(value, "drain", false),
+        FieldReader.text(value, "owner"),
+        FieldReader.text(value, "addr"),
+        FieldReader.text(value, "type"),
+        FieldReader.text(value, "zone"),
+        FieldReader.flag(value, "spot"),
+        FieldReader.flagOr(value, "drain", false),
         version,
         inLot);
   }
 
   /** Holds as long as nothing has happened to the machine since this record. */
   public Condition condition() {
-    return new Condition(World.machineKey(name), inLot ? 0 : version);
+    return new Condition(ClusterState.machineKey(name), inLot ? 0 : version);
   }
 
   public ObjectNode write() {
--- a/src/main/java/io/tansystack/cluster/Machines.java
+++ b/src/main/java/io/tansystack/cluster/MachineRegistry.java
@@ -5,9 +5,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.ArrayListMultimap;
 import com.google.common.collect.ListMultimap;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Read;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
 import java.util.Collection;
 import java.util.Collections;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
  *
  * <p>A lot may go once all its machines have own keys; a mark may go once no lot names the machine.
  */
-final class Machines {
+final class MachineRegistry {
   private record Lot(long version, Map<String, MachineRecord> named) {}
 
   private static final int MAX_GONE = 5000;
@@ -37,7 +37,7 @@
   private final Map<String, Lot> lots = new TreeMap<>();
   private final ListMultimap<String, Lot> lotsOf = ArrayListMultimap.create();
   private final Map<String, Own> own = new HashMap<>();
-  private final Map<String, Heirs> heirs = new HashMap<>();
+  private final Map<String, FailoverRecord> heirs = new HashMap<>();
 
   /** Sorted, so that all controllers go through them in the same order; looked up in the index. */
   private final Map<String, MachineRecord> machines = new TreeMap<>();
@@ -83,10 +83,11 @@
   }
 
   /** Takes in what stands under a machine's own key; {@code value} null: nothing any more. */
-  void putOwn(String name, ObjectNode value, long version, Set<String> touched) throws BadInput {
+  void putOwn(String name, ObjectNode value, long version, Set<String> touched)
+      throws InvalidMessageException {
     if (value == null) {
       own.remove(name);
-    } else if (Read.flagOr(value, "gone", false)) {
+    } else if (FieldReader.flagOr(value, "gone", false)) {
       own.put(name, new Own(version, null));
     } else {
       own.put(name, new Own(version, MachineRecord.read(name, value, version, false)));
@@ -95,12 +96,13 @@
   }
 
   /** Takes in a lot; {@code value} null: its removal. */
-  void putLot(String name, ObjectNode value, long version, Set<String> touched) throws BadInput {
+  void putLot(String name, ObjectNode value, long version, Set<String> touched)
+      throws InvalidMessageException {
     Map<String, MachineRecord> named = new HashMap<>();
     if (value != null) {
-      for (JsonNode node : Read.list(value, "machines")) {
-        ObjectNode map = Read.map(node, "machines");
-        String machine = Read.text(map, "name");
+      for (JsonNode node : FieldReader.list(value, "machines")) {
+        ObjectNode map = FieldReader.map(node, "machines");
+        String machine = FieldReader.text(map, "name");
         named.put(machine, MachineRecord.read(machine, map, version, true));
       }
     }
@@ -123,11 +125,11 @@
 
   /** Takes in who keeps the machines that a controller claimed; {@code value} null: itself. */
   void putHeirs(String claimant, ObjectNode value, long version, Set<String> touched)
-      throws BadInput {
+      throws InvalidMessageException {
     if (value == null) {
       heirs.remove(claimant);
     } else {
-      heirs.put(claimant, Heirs.read(value, version));
+      heirs.put(claimant, FailoverRecord.read(value, version));
     }
     for (MachineRecord record : List.copyOf(index.values())) {
       if (record.claimant().equals(claimant)) {
@@ -138,14 +140,14 @@
 
   /** The version of the record that names the heirs of a controller; 0 if there is none. */
   long heirsVersion(String claimant) {
-    Heirs named = heirs.get(claimant);
+    FailoverRecord named = heirs.get(claimant);
     return named == null ? 0 : named.version();
   }
 
   private void settle(String name, Set<String> touched) {
     Own o = own.get(name);
     MachineRecord counts = o == null ? firstLot(name) : o.record;
-    Heirs named = counts == null ? null : heirs.get(counts.claimant());
+    FailoverRecord named = counts == null ? null : heirs.get(counts.claimant());
     if (named != null) {
       counts = named.applied(counts);
     }
--- a/src/main/java/io/tansystack/cluster/Ownership.java
+++ b/src/main/java/io/tansystack/cluster/OwnershipConditions.java
@@ -1,8 +1,8 @@
 package io.tansystack.cluster;
 
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.util.List;
 
 /**
@@ -10,8 +10,8 @@
  * owner of a machine, and the latest of them counts: its claim of the machine, its being named an heir
  * of the claimant, and its own registration, which ends the naming of heirs in its place.
  */
-public final class Ownership {
-  private Ownership() {}
+public final class OwnershipConditions {
+  private OwnershipConditions() {}
 
   /**
    * The writes by which a controller registers: whatever was handed over while it was away is its own
@@ -20,8 +20,11 @@
    */
   static List<Write> registration(String label, String boot, String zone, long lease) {
     return List.of(
-        new Write(World.controllerKey(label), Cbor.map().put("boot", boot).put("zone", zone), lease),
-        new Write(World.heirsKey(label), null, 0));
+        new Write(
+            ClusterState.controllerKey(label),
+            Cbor.map().put("boot", boot).put("zone", zone),
+            lease),
+        new Write(ClusterState.heirsKey(label), null, 0));
   }
 
   /**
@@ -30,11 +33,12 @@
    * machine may have come back since, under the same record. The third holds while nobody else has
    * become its owner by being named an heir, or by coming back.
    */
-  public static List<Condition> held(World copy, MachineRecord machine, String label) {
+  public static List<Condition> held(ClusterState copy, MachineRecord machine, String label) {
     return List.of(
         machine.condition(),
-        new Condition(World.controllerKey(label), copy.controllers().get(label).version()),
-        new Condition(World.heirsKey(machine.claimant()), copy.heirsVersion(machine.claimant())));
+        new Condition(ClusterState.controllerKey(label), copy.controllers().get(label).version()),
+        new Condition(
+            ClusterState.heirsKey(machine.claimant()), copy.heirsVersion(machine.claimant())));
   }
 
   /**
@@ -42,10 +46,11 @@
    * and its heirs are those that the copy shows. Applied late, the heirs would be named as they were:
    * not after the controller that names them has ended.
    */
-  public static List<Condition> left(World copy, MachineRecord machine, String label) {
+  public static List<Condition> left(ClusterState copy, MachineRecord machine, String label) {
     return List.of(
-        new Condition(World.controllerKey(machine.claimant()), 0),
-        new Condition(World.heirsKey(machine.claimant()), copy.heirsVersion(machine.claimant())),
-        new Condition(World.controllerKey(label), copy.controllers().get(label).version()));
+        new Condition(ClusterState.controllerKey(machine.claimant()), 0),
+        new Condition(
+            ClusterState.heirsKey(machine.claimant()), copy.heirsVersion(machine.claimant())),
+        new Condition(ClusterState.controllerKey(label), copy.controllers().get(label).version()));
   }
 }
--- a/src/main/java/io/tansystack/cluster/PlacementIndex.java
+++ b/src/main/java/io/tansystack/cluster/PlacementIndex.java
@@ -1,6 +1,6 @@
 package io.tansystack.cluster;
 
-import io.tansystack.cluster.World.Job;
+import io.tansystack.cluster.ClusterState.Job;
 import io.tansystack.records.Placement;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,11 +13,11 @@
 /** What is recorded on each machine, kept up to date placement by placement. */
 public final class PlacementIndex {
   /** A placement together with its job, of which the newest record is looked up when it is asked for. */
-  public final class Placed {
+  public final class IndexedPlacement {
     private final String id;
     private final Placement placement;
 
-    private Placed(String id, Placement placement) {
+    private IndexedPlacement(String id, Placement placement) {
       this.id = id;
       this.placement = placement;
     }
@@ -37,14 +37,14 @@
   }
 
   private final Function<String, Job> jobs;
-  private final Map<String, List<Placed>> byMachine = new HashMap<>();
+  private final Map<String, List<IndexedPlacement>> byMachine = new HashMap<>();
 
   /** @param jobs the newest record of a job */
   PlacementIndex(Function<String, Job> jobs) {
     this.jobs = jobs;
   }
 
-  List<Placed> on(String machine) {
+  List<IndexedPlacement> on(String machine) {
     return byMachine.getOrDefault(machine, List.of());
   }
 
@@ -64,7 +64,7 @@
         if (!known) {
           byMachine
               .computeIfAbsent(placement.machine(), k -> new ArrayList<>())
-              .add(new Placed(id, placement));
+              .add(new IndexedPlacement(id, placement));
         }
         if (!known || whole) {
           touched.add(placement.machine());
@@ -73,7 +73,7 @@
     }
     for (Placement placement : gone) {
       touched.add(placement.machine());
-      List<Placed> on = byMachine.get(placement.machine());
+      List<IndexedPlacement> on = byMachine.get(placement.machine());
       on.removeIf(placed -> placed.id.equals(id) && placed.placement.equals(placement));
       if (on.isEmpty()) {
         byMachine.remove(placement.machine());
--- a/src/main/java/io/tansystack/cluster/Planners.java
+++ b/src/main/java/io/tansystack/cluster/PlannerElection.java
@@ -1,6 +1,6 @@
 package io.tansystack.cluster;
 
-import io.tansystack.cluster.World.ControllerRecord;
+import io.tansystack.cluster.ClusterState.ControllerRecord;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -11,7 +11,7 @@
  * cost of all controllers together grows with the number of planners, and on a large cluster one is
  * enough. All controllers find the same ones from the same records.
  */
-final class Planners {
+final class PlannerElection {
   /** Of so many controllers all plan, while the cluster is small: there is nothing to be saved. */
   private static final int FEW = 3;
 
@@ -21,7 +21,7 @@
   /** Work that one planner has gathered stays there until there are so few, or it would go to and fro. */
   private static final int MANY_NO_MORE = 75;
 
-  private Planners() {}
+  private PlannerElection() {}
 
   /**
    * All of a few, on a small cluster; else the one that registered first. One that comes back registers
--- a/src/main/java/io/tansystack/cluster/Sweep.java
+++ b/src/main/java/io/tansystack/cluster/RecordGarbageCollector.java
@@ -1,10 +1,10 @@
 package io.tansystack.cluster;
 
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
 import io.tansystack.records.JobRecord;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,8 +18,8 @@
  * so that a start does not have to read it. Nothing waits for it, so it takes few writes and
  * only such as are left over; the holder of the first slot does it, and two at a time would do no harm.
  */
-public final class Sweep {
-  private static final Logger log = LoggerFactory.getLogger(Sweep.class);
+public final class RecordGarbageCollector {
+  private static final Logger log = LoggerFactory.getLogger(RecordGarbageCollector.class);
   private static final Duration EVERY = Duration.ofSeconds(1);
   private static final int MOST = 3;
 
@@ -29,14 +29,18 @@
   /** Up to so many wait until nothing else is to be written: reading them costs a start little. */
   private static final int MANY = 1000;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
-  private final OwnLease lease;
-  private final SlotDuty slots;
+  private final ClusterState world;
+  private final ControllerLease lease;
+  private final SlotManager slots;
 
-  public Sweep(
-      Loop loop, StoreClient store, World world, OwnLease lease, SlotDuty slots) {
+  public RecordGarbageCollector(
+      EventLoop loop,
+      StoreClient store,
+      ClusterState world,
+      ControllerLease lease,
+      SlotManager slots) {
     this.loop = loop;
     this.store = store;
     this.world = world;
@@ -70,22 +74,23 @@
   }
 
   /**
-   * Puts outcomes away, under {@link World#endedKey}. Both writes of a job are one transaction, so it
+   * Puts outcomes away, under {@link ClusterState#endedKey}. Both writes of a job are one transaction, so it
    * stands in one of the two places at any moment, and what still writes to it under the old condition
-   * fails ({@link World#unchanged}).
+   * fails ({@link ClusterState#unchanged}).
    */
   private void putAway() {
     List<Condition> conditions = new ArrayList<>();
     List<Write> writes = new ArrayList<>();
-    for (Map.Entry<String, Outcomes.Standing> outcome : world.outcomes().entrySet()) {
+    for (Map.Entry<String, FinishedJobs.UnarchivedOutcome> outcome : world.outcomes().entrySet()) {
       if (conditions.size() == AT_ONCE) {
         break;
       }
       String id = outcome.getKey();
-      conditions.add(new Condition(World.jobKey(id), outcome.getValue().version()));
-      writes.add(new Write(World.jobKey(id), null, 0));
+      conditions.add(new Condition(ClusterState.jobKey(id), outcome.getValue().version()));
+      writes.add(new Write(ClusterState.jobKey(id), null, 0));
       writes.add(
-          new Write(World.endedKey(id), JobRecord.outcome(outcome.getValue().phase()).write(), 0));
+          new Write(
+              ClusterState.endedKey(id), JobRecord.outcome(outcome.getValue().phase()).write(), 0));
     }
     boolean many = world.outcomes().size() > MANY;
     if (conditions.size() == AT_ONCE
--- a/src/main/java/io/tansystack/cluster/SlotDuty.java
+++ b/src/main/java/io/tansystack/cluster/SlotManager.java
@@ -1,11 +1,11 @@
 package io.tansystack.cluster;
 
-import io.tansystack.cluster.World.Holder;
-import io.tansystack.http.Loop;
-import io.tansystack.store.StoreClient.Result;
+import io.tansystack.cluster.ClusterState.Holder;
+import io.tansystack.http.EventLoop;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -21,8 +21,8 @@
  * any time, because every write of a slot's holder carries the version of {@code slots/k} as a
  * condition; whether a holder looks dead decides only how soon others take over.
  */
-public final class SlotDuty {
-  private static final Logger log = LoggerFactory.getLogger(SlotDuty.class);
+public final class SlotManager {
+  private static final Logger log = LoggerFactory.getLogger(SlotManager.class);
   private static final Duration TURN = Duration.ofMillis(300);
 
   /** A controller that has just come or gone settles before slots are moved towards evenness. */
@@ -35,10 +35,10 @@
 
   private static final Duration CONTESTED = Duration.ofSeconds(30);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
-  private final OwnLease lease;
+  private final ClusterState world;
+  private final ControllerLease lease;
   private final String label;
   private final String boot;
   private final int size;
@@ -53,11 +53,11 @@
   private Duration liveSince = Duration.ZERO;
 
   /** @param size how many controllers the deployment has */
-  public SlotDuty(
-      Loop loop,
+  public SlotManager(
+      EventLoop loop,
       StoreClient store,
-      World world,
-      OwnLease lease,
+      ClusterState world,
+      ControllerLease lease,
       String label,
       String boot,
       int size,
@@ -109,7 +109,7 @@
     }
     int mineCount = 0;
     int[] counts = new int[live.size()];
-    for (int slot = 0; slot < World.SLOTS; slot++) {
+    for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
       Holder holder = world.slot(slot);
       if (mine(holder)) {
         mineCount++;
@@ -121,23 +121,23 @@
         }
       }
     }
-    int share = (World.SLOTS + live.size() - 1) / live.size();
+    int share = (ClusterState.SLOTS + live.size() - 1) / live.size();
     int me = Math.max(0, live.indexOf(label));
-    for (int i = 0; i < World.SLOTS; i++) {
+    for (int i = 0; i < ClusterState.SLOTS; i++) {
       // Each starts elsewhere, so that two claimants seldom want the same slot.
-      int slot = (i + me * share) % World.SLOTS;
+      int slot = (i + me * share) % ClusterState.SLOTS;
       Holder holder = world.slot(slot);
       if (mine(holder)) {
         continue;
       }
       boolean own = holder != null && holder.label().equals(label);
       if (chosen && (own || orphaned(holder)) && (own || mineCount < share)) {
-        claim(World.slotKey(slot), holder, label, boot, 0);
+        claim(ClusterState.slotKey(slot), holder, label, boot, 0);
         mineCount++;
       }
     }
     if (chosen && !mine(world.fleet()) && orphaned(world.fleet())) {
-      claim(World.FLEET_KEY, world.fleet(), label, boot, lease.lease());
+      claim(ClusterState.FLEET_KEY, world.fleet(), label, boot, lease.lease());
     }
     if (now.minus(liveSince).compareTo(SETTLE) > 0) {
       giveOne(live, counts, mineCount);
@@ -152,26 +152,26 @@
    * it. The record hangs on its holder's lease, so it is removed, and claimed by the planner.
    */
   private void leaveFleet() {
-    if (inFlight.containsKey(World.FLEET_KEY)) {
+    if (inFlight.containsKey(ClusterState.FLEET_KEY)) {
       return;
     }
-    inFlight.put(World.FLEET_KEY, Long.MAX_VALUE);
+    inFlight.put(ClusterState.FLEET_KEY, Long.MAX_VALUE);
     store.commitUrgent(
-        List.of(new Condition(World.FLEET_KEY, world.fleet().version())),
-        List.of(new Write(World.FLEET_KEY, null, 0)),
+        List.of(new Condition(ClusterState.FLEET_KEY, world.fleet().version())),
+        List.of(new Write(ClusterState.FLEET_KEY, null, 0)),
         Duration.ofSeconds(1),
         (result, revision) -> {
           log.info("left the fleet to {} result={}", lastLive, result);
-          settled(World.FLEET_KEY, result, revision);
+          settled(ClusterState.FLEET_KEY, result, revision);
         });
   }
 
   /** The key stays marked until the copy shows the outcome: a start is slow to read what it wrote. */
-  private void settled(String key, Result result, long revision) {
-    if (result == Result.DONE) {
+  private void settled(String key, CommitResult result, long revision) {
+    if (result == CommitResult.DONE) {
       inFlight.put(key, revision);
     }
-    loop.after(result == Result.DONE ? SHOWN : AGAIN, () -> inFlight.remove(key));
+    loop.after(result == CommitResult.DONE ? SHOWN : AGAIN, () -> inFlight.remove(key));
   }
 
   private boolean orphaned(Holder holder) {
@@ -190,7 +190,7 @@
    * a while only the records tell who lives.
    */
   private void noticeContest() {
-    for (int slot = 0; slot < World.SLOTS; slot++) {
+    for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
       Holder holder = world.slot(slot);
       boolean taken = held.contains(slot) && !given.contains(slot) && !mine(holder);
       if (mine(holder)) {
@@ -212,7 +212,7 @@
 
   /** The controllers that are to plan, as far as is known here. */
   private List<String> planners() {
-    Map<String, World.ControllerRecord> live = new HashMap<>();
+    Map<String, ClusterState.ControllerRecord> live = new HashMap<>();
     world
         .controllers()
         .forEach(
@@ -221,12 +221,12 @@
                 live.put(controller, record);
               }
             });
-    return Planners.choose(live, size, world.machines().size(), gathered());
+    return PlannerElection.choose(live, size, world.machines().size(), gathered());
   }
 
   private boolean gathered() {
     Set<String> holders = new HashSet<>();
-    for (int slot = 0; slot < World.SLOTS; slot++) {
+    for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
       holders.add(world.slot(slot) == null ? "" : world.slot(slot).label());
     }
     return holders.size() == 1;
@@ -238,7 +238,7 @@
    */
   public Set<String> informed() {
     Set<String> informed = new HashSet<>(planners());
-    for (int slot = 0; slot < World.SLOTS; slot++) {
+    for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
       if (world.slot(slot) != null) {
         informed.add(world.slot(slot).label());
       }
@@ -261,7 +261,7 @@
 
   private boolean holdsAny() {
     boolean any = holdsFleet();
-    for (int slot = 0; slot < World.SLOTS; slot++) {
+    for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
       any |= holds(slot);
     }
     return any;
@@ -269,18 +269,22 @@
 
   /** Passes slots on, one at a time, to planners that have less than their part. */
   private void giveOne(List<String> live, int[] counts, int mineCount) {
-    int floor = live.contains(label) ? World.SLOTS / live.size() : 0;
+    int floor = live.contains(label) ? ClusterState.SLOTS / live.size() : 0;
     if (mineCount <= floor) {
       return;
     }
     for (int i = 0; i < live.size(); i++) {
-      if (counts[i] < World.SLOTS / live.size() && !live.get(i).equals(label)) {
-        for (int slot = 0; slot < World.SLOTS; slot++) {
+      if (counts[i] < ClusterState.SLOTS / live.size() && !live.get(i).equals(label)) {
+        for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
           if (mine(world.slot(slot))) {
             String to = live.get(i);
             given.add(slot);
             claim(
-                World.slotKey(slot), world.slot(slot), to, world.controllers().get(to).boot(), 0);
+                ClusterState.slotKey(slot),
+                world.slot(slot),
+                to,
+                world.controllers().get(to).boot(),
+                0);
             return;
           }
         }
@@ -295,7 +299,7 @@
     inFlight.put(key, Long.MAX_VALUE);
     store.commitUrgent(
         List.of(new Condition(key, before == null ? 0 : before.version())),
-        List.of(new Write(key, World.holder(to, toBoot), attach)),
+        List.of(new Write(key, ClusterState.holder(to, toBoot), attach)),
         Duration.ofSeconds(1),
         (result, revision) -> {
           log.info(
--- a/src/main/java/io/tansystack/cluster/StallDetector.java
+++ b/src/main/java/io/tansystack/cluster/StallDetector.java
@@ -1,6 +1,6 @@
 package io.tansystack.cluster;
 
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
 import java.time.Duration;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -16,12 +16,12 @@
   /** Duties ask several times a second; a loop that is merely busy is late by less than this. */
   private static final Duration LATE = Duration.ofMillis(1500);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private Duration lastTurn;
   private Duration listeningSince;
   private int stalls;
 
-  public StallDetector(Loop loop) {
+  public StallDetector(EventLoop loop) {
     this.loop = loop;
     this.lastTurn = loop.now();
     this.listeningSince = lastTurn;
--- a/src/main/java/io/tansystack/cluster/Intakes.java
+++ b/src/main/java/io/tansystack/cluster/SubmissionBatches.java
@@ -7,11 +7,11 @@
 import com.google.common.collect.HashMultiset;
 import com.google.common.collect.ListMultimap;
 import com.google.common.collect.Multiset;
-import io.tansystack.cluster.World.Job;
+import io.tansystack.cluster.ClusterState.Job;
 import io.tansystack.records.JobRecord;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Read;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -29,7 +29,7 @@
  * each of its jobs has been placed, cancelled or finished under its own key, which stays at least for as
  * long as an intake names the job.
  */
-final class Intakes {
+final class SubmissionBatches {
   private record Intake(long version, Set<String> named, Set<String> open) {}
 
   private final Function<String, Job> jobs;
@@ -38,7 +38,7 @@
   private final Multiset<String> naming = HashMultiset.create();
 
   /** @param jobs the newest record of a job; null for none */
-  Intakes(Function<String, Job> jobs) {
+  SubmissionBatches(Function<String, Job> jobs) {
     this.jobs = jobs;
   }
 
@@ -61,14 +61,14 @@
       long version,
       Function<String, Boolean> over,
       BiConsumer<String, Job> keep)
-      throws BadInput {
+      throws InvalidMessageException {
     if (value == null) {
       remove(name);
       return;
     }
     List<JobRecord> records = new ArrayList<>();
-    for (JsonNode node : Read.list(value, "jobs")) {
-      records.add(JobRecord.read(Read.map(node, "jobs")));
+    for (JsonNode node : FieldReader.list(value, "jobs")) {
+      records.add(JobRecord.read(FieldReader.map(node, "jobs")));
     }
     remove(name);
     Intake intake = new Intake(version, new HashSet<>(), new HashSet<>());
@@ -85,7 +85,8 @@
       intake.open.add(id);
       byJob.put(id, intake);
       if (known == null || version < Math.min(earliest, ownVersion(known))) {
-        keep.accept(id, new Job(record, known == null ? 0 : known.version(), World.slotOf(id)));
+        keep.accept(
+            id, new Job(record, known == null ? 0 : known.version(), ClusterState.slotOf(id)));
       }
     }
   }
--- a/src/main/java/io/tansystack/cluster/TimeOfDay.java
+++ b/src/main/java/io/tansystack/cluster/WallClockConverter.java
@@ -1,6 +1,6 @@
 package io.tansystack.cluster;
 
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
 import java.time.Duration;
 import java.time.InstantSource;
 
@@ -9,12 +9,12 @@
  * of day can prove is only that something was earlier: each clock may be wrong by {@code skew}, either way,
  * and wanders within that.
  */
-public final class TimeOfDay {
-  private final Loop loop;
+public final class WallClockConverter {
+  private final EventLoop loop;
   private final InstantSource clock;
   private final Duration skew;
 
-  public TimeOfDay(Loop loop, InstantSource clock, Duration skew) {
+  public WallClockConverter(EventLoop loop, InstantSource clock, Duration skew) {
     this.loop = loop;
     this.clock = clock;
     this.skew = skew;
--- a/src/main/java/io/tansystack/emulator/ScaleCell.java
+++ b/src/main/java/io/tansystack/emulator/CellRun.java
@@ -20,7 +20,7 @@
  * One cell of a scale run: real controllers, and emulators of all that is around them in this
  * process. Bounded in time; whatever happens, the processes that it started are ended.
  */
-public final class ScaleCell implements AutoCloseable {
+public final class CellRun implements AutoCloseable {
   /** Work that comes in so much time at the usual rate is there at the beginning. */
   private static final Duration HEAD = Duration.ofSeconds(30);
 
@@ -34,15 +34,15 @@
 
   private final ScaleSettings settings;
   private final Consumer<String> progress;
-  private final RoleLoop storeRole = new RoleLoop("state");
-  private final RoleLoop workerRole = new RoleLoop("workers");
-  private final RoleLoop userRole = new RoleLoop("users");
-  private final RuleJudge judge;
+  private final RoleEventLoop storeRole = new RoleEventLoop("state");
+  private final RoleEventLoop workerRole = new RoleEventLoop("workers");
+  private final RoleEventLoop userRole = new RoleEventLoop("users");
+  private final RuleChecker judge;
   private final TaskTimes times;
   private final EmulatedStore store;
-  private final HollowFleet fleet;
-  private final ScaleUsers users;
-  private final ControllerFleet controllers;
+  private final EmulatedFleet fleet;
+  private final EmulatedUsers users;
+  private final ControllerLauncher controllers;
   private final double memoryLimitMb;
 
   /**
@@ -51,7 +51,7 @@
    * @param memoryLimitMb the run ends where all its processes together need more
    * @param progress told a line from time to time
    */
-  public ScaleCell(
+  public CellRun(
       ScaleSettings settings,
       int cell,
       Path deployFile,
@@ -63,15 +63,15 @@
     this.progress = progress;
     this.memoryLimitMb = memoryLimitMb;
     CellAddresses addresses = CellAddresses.of(cell);
-    this.judge = new RuleJudge(TeamLimits.of(settings));
+    this.judge = new RuleChecker(TeamLimits.of(settings));
     this.times = new TaskTimes(() -> Duration.ofNanos(System.nanoTime()));
     StoreLimits limits =
         new StoreLimits(
             settings.state().rps(), settings.state().writeRps(), StoreLimits.MAX_PAGE);
     this.store = new EmulatedStore(storeRole.loop(), limits, () -> false);
-    this.fleet = new HollowFleet(workerRole, settings, addresses, judge, times);
-    this.users = new ScaleUsers(userRole, settings, addresses, judge, times);
-    this.controllers = new ControllerFleet(settings, addresses, deployFile, folder);
+    this.fleet = new EmulatedFleet(workerRole, settings, addresses, judge, times);
+    this.users = new EmulatedUsers(userRole, settings, addresses, judge, times);
+    this.controllers = new ControllerLauncher(settings, addresses, deployFile, folder);
     EmulatedCloud cloud = new EmulatedCloud(workerRole.loop(), fleet);
     storeRole
         .server()
@@ -81,7 +81,7 @@
                 store.handle(
                     method,
                     path,
-                    HollowFleet.decode(body),
+                    EmulatedFleet.decode(body),
                     (status, map) -> reply.send(status, Cbor.encode(map))));
     workerRole
         .server()
@@ -90,7 +90,7 @@
             (method, path, body, reply) ->
                 cloud.handle(
                     path,
-                    body.length == 0 ? Cbor.map() : HollowFleet.decode(body),
+                    body.length == 0 ? Cbor.map() : EmulatedFleet.decode(body),
                     (status, map) -> reply.send(status, Cbor.encode(map))));
   }
 
@@ -188,7 +188,7 @@
     return storeRole.ask(
         () -> {
           var fleetKey = store.value("ts/fleet");
-          String label = fleetKey == null ? HollowWorker.label(0) : fleetKey.path("label").asText();
+          String label = fleetKey == null ? ReportSender.label(0) : fleetKey.path("label").asText();
           return Integer.parseInt(label.substring(label.indexOf('-') + 1));
         });
   }
@@ -205,7 +205,7 @@
       long writes,
       long refused,
       Map<String, Long> writesByKind,
-      Traffic traffic) {}
+      TrafficCounters traffic) {}
 
   private Sample sample() throws InterruptedException {
     List<ProcessUsage> usages = new ArrayList<>();
@@ -233,7 +233,7 @@
     double seconds = seconds(after.at.minus(before.at));
     int planner = planner();
     List<ClassResult> classes = new ArrayList<>();
-    for (String name : Workload.CLASSES) {
+    for (String name : WorkloadGenerator.CLASSES) {
       double begun = userRole.ask(() -> users.begun(name, warm));
       classes.add(new ClassResult(name, begun, times.waitMs(name, 50), times.waitMs(name, 99)));
     }
@@ -336,7 +336,7 @@
     return rates;
   }
 
-  private WorkerTraffic traffic(Traffic before, Traffic after, double seconds) {
+  private WorkerTraffic traffic(TrafficCounters before, TrafficCounters after, double seconds) {
     double of = seconds * settings.workers();
     double bytes =
         after.reportBytes - before.reportBytes + after.commandBytes - before.commandBytes;
--- a/src/main/java/io/tansystack/emulator/ControllerFleet.java
+++ b/src/main/java/io/tansystack/emulator/ControllerLauncher.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The controllers of a cell: real processes, started by the run line of the deploy file. */
-final class ControllerFleet {
+final class ControllerLauncher {
   private static final int CONNECTIONS = 8_000;
 
   private final ScaleSettings settings;
@@ -26,7 +26,7 @@
    * @param deployFile names the run line, which is relative to the folder above the file's
    * @param folder for settings and logs
    */
-  ControllerFleet(ScaleSettings settings, CellAddresses addresses, Path deployFile, Path folder)
+  ControllerLauncher(ScaleSettings settings, CellAddresses addresses, Path deployFile, Path folder)
       throws SettingsException {
     this.settings = settings;
     this.addresses = addresses;
@@ -45,11 +45,11 @@
   }
 
   void start(int index) throws IOException {
-    Path file = folder.resolve(HollowWorker.label(index) + ".toml");
+    Path file = folder.resolve(ReportSender.label(index) + ".toml");
     Files.writeString(file, settingsOf(index));
     List<String> command = new ArrayList<>(runLine);
     command.add(file.toAbsolutePath().toString());
-    File log = folder.resolve(HollowWorker.label(index) + ".log").toFile();
+    File log = folder.resolve(ReportSender.label(index) + ".log").toFile();
     processes.set(
         index,
         new ProcessBuilder(command)
@@ -90,16 +90,16 @@
   }
 
   private String settingsOf(int index) {
-    List<String> zones = HollowFleet.zones(settings);
+    List<String> zones = EmulatedFleet.zones(settings);
     StringBuilder text = new StringBuilder();
-    text.append(line("label", HollowWorker.label(index)));
+    text.append(line("label", ReportSender.label(index)));
     text.append(line("zone", zones.get(index % zones.size())));
     text.append(line("front", CellAddresses.text(addresses.front(index))));
     text.append(line("peer_bind", CellAddresses.text(addresses.peer(index))));
     for (int other = 0; other < settings.controllers(); other++) {
       if (other != index) {
         text.append("[[seeds]]\n");
-        text.append(line("label", HollowWorker.label(other)));
+        text.append(line("label", ReportSender.label(other)));
         text.append(line("zone", zones.get(other % zones.size())));
         text.append(line("peer_addr", CellAddresses.text(addresses.peer(other))));
       }
@@ -119,7 +119,7 @@
     return key + " = \"" + value + "\"\n";
   }
 
-  private static String team(String name, RuleJudge.Limit limit) {
+  private static String team(String name, RuleChecker.Limit limit) {
     return "[[cluster.teams]]\n"
         + line("name", name)
         + "cpus_max = " + limit.cpus() + "\ngpus_max = " + limit.gpus() + "\n";
@@ -132,7 +132,7 @@
         "\n",
         "[[cluster.objectives]]",
         "kind = \"wait\"",
-        "class = \"" + Workload.URGENT + "\"",
+        "class = \"" + WorkloadGenerator.URGENT + "\"",
         "within_s = 3.9",
         "share = 0.99",
         "[cluster.workers]",
--- a/src/main/java/io/tansystack/emulator/EmulatedCloud.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedCloud.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.CloudWire;
+import io.tansystack.wire.CloudProtocol;
 import io.tansystack.wire.MachineType;
 import java.time.Duration;
 import java.util.Collection;
@@ -16,7 +16,7 @@
 /** The cloud after its published protocol: rentals by name, deletions, and a list that lags. */
 public final class EmulatedCloud {
   /** The machines behind the interface. */
-  public interface MachinePark {
+  public interface MachineProvider {
     List<MachineType> types();
 
     /** Rents a machine and tells its name; null if none of the kind is left. */
@@ -35,13 +35,13 @@
     Duration bootTime(EmulatedWorker machine);
   }
 
-  private final Loop loop;
-  private final MachinePark park;
+  private final EventLoop loop;
+  private final MachineProvider park;
 
   /** What was answered to each rental: one name rents once. */
   private final Map<String, ObjectNode> rentals = new HashMap<>();
 
-  public EmulatedCloud(Loop loop, MachinePark park) {
+  public EmulatedCloud(EventLoop loop, MachineProvider park) {
     this.loop = loop;
     this.park = park;
   }
@@ -95,7 +95,7 @@
         park.types().stream().filter(t -> t.name().equals(typeName)).findFirst().orElseThrow();
     ObjectNode map = Cbor.map();
     ArrayNode names = map.putArray("Berths");
-    int count = Math.min(body.get("HowMany").asInt(), CloudWire.MAX_RENT);
+    int count = Math.min(body.get("HowMany").asInt(), CloudProtocol.MAX_RENT);
     boolean spot = body.path("Loaners").asBoolean();
     for (int i = 0; i < count; i++) {
       String name = park.rent(type, body.get("Yard").asText(), spot);
@@ -123,7 +123,7 @@
       if (machine.name().compareTo(since) <= 0 || age.isNegative()) {
         continue;
       }
-      more = list.size() == CloudWire.MAX_LIST;
+      more = list.size() == CloudProtocol.MAX_LIST;
       if (more) {
         break;
       }
--- a/src/main/java/io/tansystack/emulator/HollowFleet.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedFleet.java
@@ -1,14 +1,14 @@
 package io.tansystack.emulator;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.tansystack.http.EventLoop;
 import io.tansystack.http.HttpServer.Reply;
-import io.tansystack.http.Loop;
 import io.tansystack.wire.Addresses;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
-import io.tansystack.wire.Shape;
 import io.tansystack.wire.TaskId;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -24,7 +24,7 @@
 import java.util.Set;
 
 /** All hollow workers of a cell and the machines that its cloud can rent; owned by one loop. */
-final class HollowFleet implements WorkerEnvironment, EmulatedCloud.MachinePark {
+final class EmulatedFleet implements WorkerEnvironment, EmulatedCloud.MachineProvider {
   /** Tasks run between so much shorter and so much longer than their owner's estimate. */
   private static final double ESTIMATE_ERROR = 0.4;
 
@@ -38,27 +38,27 @@
 
   private record Kind(String type, String zone) {}
 
-  private final RoleLoop role;
+  private final RoleEventLoop role;
   private final ScaleSettings settings;
   private final CellAddresses addresses;
-  private final RuleJudge judge;
+  private final RuleChecker judge;
   private final TaskTimes times;
   private final Random random;
   private final EmulatedGangs gangs = new EmulatedGangs(this);
   private final List<MachineType> types;
-  private final Map<String, HollowWorker> workers = new LinkedHashMap<>();
+  private final Map<String, ReportSender> workers = new LinkedHashMap<>();
   private final Map<String, EmulatedWorker> rented = new LinkedHashMap<>();
   private final Map<Kind, Integer> left = new HashMap<>();
   private final Map<EmulatedWorker, Map<String, Duration>> imagesReady = new HashMap<>();
   private final Set<TaskId> completed = new HashSet<>();
-  private final Traffic traffic = new Traffic();
+  private final TrafficCounters traffic = new TrafficCounters();
   private int made;
 
-  HollowFleet(
-      RoleLoop role,
+  EmulatedFleet(
+      RoleEventLoop role,
       ScaleSettings settings,
       CellAddresses addresses,
-      RuleJudge judge,
+      RuleChecker judge,
       TaskTimes times) {
     this.role = role;
     this.settings = settings;
@@ -108,7 +108,7 @@
             settings.workerTimes().lease());
     int first = random.nextInt(settings.controllers());
     workers.put(
-        name, new HollowWorker(worker, role, settings, addresses, traffic, random, first));
+        name, new ReportSender(worker, role, settings, addresses, traffic, random, first));
     rented.put(name, worker);
     try {
       role.server().listen(address, (method, path, body, reply) -> serve(worker, path, body, reply));
@@ -122,19 +122,19 @@
     int status = 200;
     if (path.equals("/orders")) {
       traffic.commands++;
-      traffic.commandBytes += body.length + Traffic.REQUEST_HEADER_BYTES;
+      traffic.commandBytes += body.length + TrafficCounters.REQUEST_HEADER_BYTES;
       ObjectNode commands = decode(body);
       status = commands == null ? 400 : worker.commands(commands);
     }
     byte[] answer = Cbor.encode(worker.report().write());
-    traffic.commandBytes += answer.length + Traffic.ANSWER_HEADER_BYTES;
+    traffic.commandBytes += answer.length + TrafficCounters.ANSWER_HEADER_BYTES;
     reply.send(status, answer);
   }
 
   static ObjectNode decode(byte[] body) {
     try {
       return Cbor.decodeMap(body);
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       return null;
     }
   }
@@ -149,7 +149,7 @@
 
   private void stop(EmulatedWorker worker) {
     worker.die();
-    HollowWorker hollow = workers.remove(worker.name());
+    ReportSender hollow = workers.remove(worker.name());
     if (hollow != null) {
       hollow.stop();
     }
@@ -160,12 +160,12 @@
   private void closeAddress(EmulatedWorker worker) {
     try {
       role.server().close(Addresses.parse(worker.address()));
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       throw new IllegalStateException("an address of our own making is well formed", e);
     }
   }
 
-  Traffic traffic() {
+  TrafficCounters traffic() {
     return traffic.copy();
   }
 
@@ -221,7 +221,7 @@
   }
 
   @Override
-  public Loop loop() {
+  public EventLoop loop() {
     return role.loop();
   }
 
@@ -275,7 +275,7 @@
   @Override
   public int gangSize(String job) {
     JobSpec spec = judge.job(job);
-    return spec.shape() == Shape.GANG ? spec.tasks() : 0;
+    return spec.shape() == JobKind.GANG ? spec.tasks() : 0;
   }
 
   @Override
@@ -301,7 +301,7 @@
 
   @Override
   public void changed(EmulatedWorker worker) {
-    HollowWorker hollow = workers.get(worker.name());
+    ReportSender hollow = workers.get(worker.name());
     if (hollow != null) {
       hollow.changed();
     }
--- a/src/main/java/io/tansystack/emulator/EmulatedStore.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedStore.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
 import io.tansystack.wire.Cbor;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -29,7 +29,7 @@
 
   private record Watch(String prefix, long since, BiConsumer<Integer, ObjectNode> reply) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final BooleanSupplier away;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final List<Event> events = new ArrayList<>();
@@ -52,7 +52,7 @@
   private long writes;
 
   /** @param away whether it serves nobody: then no lease ends, and afterwards each has its full time again */
-  public EmulatedStore(Loop loop, StoreLimits limits, BooleanSupplier away) {
+  public EmulatedStore(EventLoop loop, StoreLimits limits, BooleanSupplier away) {
     this.loop = loop;
     this.limits = limits;
     this.away = away;
--- a/src/main/java/io/tansystack/emulator/ScaleUsers.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedUsers.java
@@ -1,10 +1,10 @@
 package io.tansystack.emulator;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.emulator.Workload.Drawn;
-import io.tansystack.http.HttpCaller;
-import io.tansystack.http.Loop;
-import io.tansystack.http.UndertowCaller;
+import io.tansystack.emulator.WorkloadGenerator.GeneratedJob;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
+import io.tansystack.http.UndertowHttpClient;
 import io.tansystack.wire.Cbor;
 import io.tansystack.wire.JobSpec;
 import java.time.Duration;
@@ -19,7 +19,7 @@
  * The users of a cell, as published: they submit until accepted, poll every five seconds, cancel
  * some jobs, and reach the controllers through a load balancer that passes over who refuses.
  */
-final class ScaleUsers {
+final class EmulatedUsers {
   private static final Duration SUBMIT_TIMEOUT = Duration.ofSeconds(5);
   private static final Duration POLL_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration POLL_EVERY = Duration.ofSeconds(5);
@@ -41,13 +41,13 @@
     }
   }
 
-  private final Loop loop;
-  private final UndertowCaller caller;
+  private final EventLoop loop;
+  private final UndertowHttpClient caller;
   private final ScaleSettings settings;
   private final CellAddresses addresses;
-  private final RuleJudge judge;
+  private final RuleChecker judge;
   private final TaskTimes times;
-  private final Workload workload;
+  private final WorkloadGenerator workload;
   private final Random random;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Map<Integer, Duration> skippedUntil = new HashMap<>();
@@ -56,11 +56,11 @@
   private boolean recording;
   private long refused;
 
-  ScaleUsers(
-      RoleLoop role,
+  EmulatedUsers(
+      RoleEventLoop role,
       ScaleSettings settings,
       CellAddresses addresses,
-      RuleJudge judge,
+      RuleChecker judge,
       TaskTimes times) {
     this.loop = role.loop();
     this.caller = role.caller(CONNECTIONS);
@@ -69,7 +69,7 @@
     this.judge = judge;
     this.times = times;
     this.workload =
-        new Workload(
+        new WorkloadGenerator(
             settings.seed(), settings.teams(), settings.startsPerSecond(), settings.workers());
     this.random = new Random(settings.seed() + 1);
   }
@@ -77,7 +77,7 @@
   /** Starts to submit; what comes in {@code head} at the usual rate comes at once, to fill the cell. */
   void start(Duration head) {
     submitting = true;
-    for (String jobClass : Workload.CLASSES) {
+    for (String jobClass : WorkloadGenerator.CLASSES) {
       Duration at = workload.untilNext(jobClass);
       while (at.compareTo(head) < 0) {
         submitNext(jobClass);
@@ -108,7 +108,7 @@
   }
 
   private void submitNext(String jobClass) {
-    Drawn drawn = workload.draw(jobClass);
+    GeneratedJob drawn = workload.draw(jobClass);
     Job job = new Job(drawn.spec(), loop.now());
     jobs.put(drawn.spec().id(), job);
     judge.submitted(drawn.spec());
@@ -116,7 +116,7 @@
     submit(job, drawn);
   }
 
-  private void submit(Job job, Drawn drawn) {
+  private void submit(Job job, GeneratedJob drawn) {
     byte[] body = Cbor.encode(job.spec.write());
     call(
         "POST",
@@ -133,7 +133,7 @@
         });
   }
 
-  private void accepted(Job job, Drawn drawn) {
+  private void accepted(Job job, GeneratedJob drawn) {
     job.accepted = true;
     job.answeredAt = loop.now();
     judge.accepted(job.spec.id());
@@ -212,10 +212,10 @@
         path,
         body,
         timeout,
-        new HttpCaller.Outcome() {
+        new HttpClient.ResponseHandler() {
           @Override
           public void answer(int status, byte[] answer) {
-            then.take(status, HollowFleet.decode(answer));
+            then.take(status, EmulatedFleet.decode(answer));
           }
 
           @Override
--- a/src/main/java/io/tansystack/emulator/EmulatedWorker.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedWorker.java
@@ -2,14 +2,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
 import io.tansystack.wire.Report;
 import io.tansystack.wire.TaskId;
-import io.tansystack.wire.TaskReport;
 import io.tansystack.wire.TaskReport.Cause;
 import io.tansystack.wire.TaskReport.State;
+import io.tansystack.wire.TaskReport;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -30,7 +30,7 @@
 
   private final WorkerEnvironment environment;
   private final EmulatedGangs gangs;
-  private final Loop loop;
+  private final EventLoop loop;
   private final String name;
   private final String address;
   private final MachineType type;
--- a/src/main/java/io/tansystack/emulator/ScaleCells.java
+++ b/src/main/java/io/tansystack/emulator/MultiCellRun.java
@@ -20,7 +20,7 @@
 import java.util.function.ToLongFunction;
 
 /** Several cells at a time, each in a process of its own, and what they measured put together. */
-public final class ScaleCells implements AutoCloseable {
+public final class MultiCellRun implements AutoCloseable {
   /** A run may take this part of the machine's memory. */
   private static final double MEMORY_PART = 0.5;
 
@@ -33,7 +33,7 @@
   private final Consumer<String> progress;
   private final List<Process> processes = new ArrayList<>();
 
-  public ScaleCells(
+  public MultiCellRun(
       ScaleSettings settings, Path deployFile, Path folder, Consumer<String> progress) {
     this.settings = settings;
     this.deployFile = deployFile;
--- a/src/main/java/io/tansystack/emulator/HollowWorker.java
+++ b/src/main/java/io/tansystack/emulator/ReportSender.java
@@ -1,9 +1,9 @@
 package io.tansystack.emulator;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.http.HttpCaller;
-import io.tansystack.http.Loop;
-import io.tansystack.http.UndertowCaller;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
+import io.tansystack.http.UndertowHttpClient;
 import io.tansystack.wire.Cbor;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -14,7 +14,7 @@
  * time with one report in flight, regularly and after changes, and to the next node where one does
  * not answer.
  */
-final class HollowWorker {
+final class ReportSender {
   private static final Duration TIMEOUT = Duration.ofSeconds(4);
   private static final Duration NEXT_NODE = Duration.ofSeconds(1);
   private static final Duration REDIRECT_WAIT = Duration.ofMillis(500);
@@ -23,25 +23,25 @@
   private static final String LABEL = "c-";
 
   private final EmulatedWorker worker;
-  private final Loop loop;
-  private final UndertowCaller caller;
+  private final EventLoop loop;
+  private final UndertowHttpClient caller;
   private final ScaleSettings settings;
   private final CellAddresses addresses;
-  private final Traffic traffic;
+  private final TrafficCounters traffic;
   private final Random random;
   private int target;
   private boolean inFlight;
   private boolean changed;
   private boolean stopped;
   private Duration sentAt = Duration.ZERO;
-  private Loop.Timer next;
+  private EventLoop.Timer next;
 
-  HollowWorker(
+  ReportSender(
       EmulatedWorker worker,
-      RoleLoop role,
+      RoleEventLoop role,
       ScaleSettings settings,
       CellAddresses addresses,
-      Traffic traffic,
+      TrafficCounters traffic,
       Random random,
       int firstTarget) {
     this.worker = worker;
@@ -97,7 +97,7 @@
     long session = worker.session();
     byte[] body = Cbor.encode(worker.report().write());
     traffic.reports++;
-    traffic.reportBytes += body.length + Traffic.REQUEST_HEADER_BYTES;
+    traffic.reportBytes += body.length + TrafficCounters.REQUEST_HEADER_BYTES;
     InetSocketAddress to = addresses.front(target);
     caller.call(
         to,
@@ -105,12 +105,12 @@
         "/v1/report",
         body,
         TIMEOUT,
-        new HttpCaller.Outcome() {
+        new HttpClient.ResponseHandler() {
           @Override
           public void answer(int status, byte[] answer) {
-            traffic.reportBytes += answer.length + Traffic.ANSWER_HEADER_BYTES;
+            traffic.reportBytes += answer.length + TrafficCounters.ANSWER_HEADER_BYTES;
             inFlight = false;
-            answered(status, HollowFleet.decode(answer), at, session);
+            answered(status, EmulatedFleet.decode(answer), at, session);
           }
 
           @Override
--- a/src/main/java/io/tansystack/emulator/RoleLoop.java
+++ b/src/main/java/io/tansystack/emulator/RoleEventLoop.java
@@ -1,9 +1,9 @@
 package io.tansystack.emulator;
 
 import io.tansystack.http.AddressServer;
-import io.tansystack.http.Loop;
-import io.tansystack.http.UndertowCaller;
-import io.tansystack.http.XnioLoop;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.UndertowHttpClient;
+import io.tansystack.http.XnioEventLoop;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
 import java.io.IOException;
@@ -20,21 +20,21 @@
 import org.xnio.XnioWorker;
 
 /** One emulated role on a thread of its own, so that its processor time can be told. */
-final class RoleLoop {
+final class RoleEventLoop {
   private static final int BUFFER = 8192;
   private static final int MAX_BODY = 1 << 20;
   private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(10);
 
   private final XnioWorker worker;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER, 256, 0);
-  private final Loop loop;
+  private final EventLoop loop;
   private final AddressServer server;
   private volatile boolean stopped;
   private final CompletableFuture<Long> threadId = new CompletableFuture<>();
 
-  RoleLoop(String name) throws IOException {
+  RoleEventLoop(String name) throws IOException {
     worker =
-        Xnio.getInstance(RoleLoop.class.getClassLoader())
+        Xnio.getInstance(RoleEventLoop.class.getClassLoader())
             .createWorker(
                 OptionMap.builder()
                     .set(Options.WORKER_NAME, name)
@@ -43,12 +43,12 @@
                     .set(Options.WORKER_TASK_MAX_THREADS, 1)
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
-    loop = new StoppableLoop(new XnioLoop(worker.getIoThread()));
+    loop = new StoppableLoop(new XnioEventLoop(worker.getIoThread()));
     server = new AddressServer(worker, buffers, MAX_BODY);
     loop.execute(() -> threadId.complete(Thread.currentThread().getId()));
   }
 
-  Loop loop() {
+  EventLoop loop() {
     return loop;
   }
 
@@ -57,8 +57,8 @@
   }
 
   /** A client with connections of its own. */
-  UndertowCaller caller(int connectionsPerAddress) {
-    return new UndertowCaller(worker.getIoThread(), loop, buffers, connectionsPerAddress);
+  UndertowHttpClient caller(int connectionsPerAddress) {
+    return new UndertowHttpClient(worker.getIoThread(), loop, buffers, connectionsPerAddress);
   }
 
   /** What the loop's thread says of the state that it owns. */
@@ -87,10 +87,10 @@
   }
 
   /** What its tasks ask for after the stop is left undone. */
-  private final class StoppableLoop implements Loop {
-    private final Loop running;
+  private final class StoppableLoop implements EventLoop {
+    private final EventLoop running;
 
-    StoppableLoop(Loop running) {
+    StoppableLoop(EventLoop running) {
       this.running = running;
     }
 
--- a/src/main/java/io/tansystack/emulator/RuleJudge.java
+++ b/src/main/java/io/tansystack/emulator/RuleChecker.java
@@ -14,7 +14,7 @@
  * Judges the protocol's rules over all that a scale run sees: each task that comes to or goes from a
  * machine, and each answer to users. Safe for use by several threads.
  */
-final class RuleJudge {
+final class RuleChecker {
   private static final double EPSILON = 1e-6;
   private static final int MOST_NAMED = 100;
 
@@ -37,7 +37,7 @@
   private long brokenCount;
   private boolean anyBegan;
 
-  RuleJudge(Map<String, Limit> limits) {
+  RuleChecker(Map<String, Limit> limits) {
     this.limits = limits;
   }
 
--- a/src/main/java/io/tansystack/emulator/TeamLimits.java
+++ b/src/main/java/io/tansystack/emulator/TeamLimits.java
@@ -16,13 +16,13 @@
 
   private TeamLimits() {}
 
-  static Map<String, RuleJudge.Limit> of(ScaleSettings settings) {
-    Map<String, RuleJudge.Limit> limits = new LinkedHashMap<>();
+  static Map<String, RuleChecker.Limit> of(ScaleSettings settings) {
+    Map<String, RuleChecker.Limit> limits = new LinkedHashMap<>();
     double part = TIMES * settings.workers() / settings.teams();
     double cpus = Math.max(LEAST_CPUS, Math.ceil(part * CPUS_PER_WORKER));
     double gpus = Math.max(LEAST_GPUS, Math.ceil(part * GPUS_PER_WORKER));
     for (int i = 0; i < settings.teams(); i++) {
-      limits.put(Workload.teamName(i), new RuleJudge.Limit(cpus, gpus));
+      limits.put(WorkloadGenerator.teamName(i), new RuleChecker.Limit(cpus, gpus));
     }
     return limits;
   }
--- a/src/main/java/io/tansystack/emulator/Traffic.java
+++ b/src/main/java/io/tansystack/emulator/TrafficCounters.java
@@ -1,7 +1,7 @@
 package io.tansystack.emulator;
 
 /** Messages of all hollow workers of a cell, and their bytes with headers, both ways together. */
-final class Traffic {
+final class TrafficCounters {
   /** A request's line and headers, as Undertow's client writes them for these paths. */
   static final int REQUEST_HEADER_BYTES = 108;
 
@@ -13,8 +13,8 @@
   long commands;
   long commandBytes;
 
-  Traffic copy() {
-    Traffic copy = new Traffic();
+  TrafficCounters copy() {
+    TrafficCounters copy = new TrafficCounters();
     copy.reports = reports;
     copy.reportBytes = reportBytes;
     copy.commands = commands;
--- a/src/main/java/io/tansystack/emulator/WorkerEnvironment.java
+++ b/src/main/java/io/tansystack/emulator/WorkerEnvironment.java
@@ -1,13 +1,13 @@
 package io.tansystack.emulator;
 
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.TaskId;
 import java.time.Duration;
 
 /** What emulated workers take from the cluster around them, and what they tell it. */
 public interface WorkerEnvironment {
-  Loop loop();
+  EventLoop loop();
 
   /** The description that the job's user uploaded; null if nobody did. */
   JobSpec description(String job);
--- a/src/main/java/io/tansystack/emulator/Workload.java
+++ b/src/main/java/io/tansystack/emulator/WorkloadGenerator.java
@@ -1,8 +1,8 @@
 package io.tansystack.emulator;
 
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.List;
@@ -16,7 +16,7 @@
  * up to 256, short urgent arrays, and services, in a mix whose mean run time keeps as many tasks
  * running as the planned size has.
  */
-final class Workload {
+final class WorkloadGenerator {
   static final String BATCH = "batch";
   static final String TRAINING = "training";
   static final String URGENT = "urgent";
@@ -34,7 +34,7 @@
   private static final int LARGE_GANG = 64;
 
   /** A drawn job, and after how long its user cancels it; null for never. */
-  record Drawn(JobSpec spec, Duration cancelAfter) {}
+  record GeneratedJob(JobSpec spec, Duration cancelAfter) {}
 
   /** The part of all starts that belongs to a class. */
   private static final Map<String, Double> SHARES =
@@ -55,7 +55,7 @@
   private final int[] gangSizes;
   private int made;
 
-  Workload(long seed, int teams, double startsPerSecond, int workers) {
+  WorkloadGenerator(long seed, int teams, double startsPerSecond, int workers) {
     this.random = new Random(seed);
     this.teams = teams;
     this.startsPerSecond = startsPerSecond;
@@ -88,20 +88,30 @@
     return Duration.ofMillis((long) (seconds * 1000));
   }
 
-  Drawn draw(String jobClass) {
+  GeneratedJob draw(String jobClass) {
     String id = "wk-" + (1_000_000 + made++ * 37L % 999_983);
     String team = teamName(random.nextInt(teams));
     String image = jobClass + "-" + random.nextInt(IMAGES);
     return switch (jobClass) {
-      case BATCH -> drawn(id, team, image, Shape.ARRAY, Priority.LOW, uniform(leastBatch(), mostBatch), 4, 0, 8, 60);
+      case BATCH ->
+          drawn(
+              id, team, image, JobKind.ARRAY, Priority.LOW,
+              uniform(leastBatch(), mostBatch), 4, 0, 8, 60);
       case TRAINING -> {
         int tasks = gangSizes[random.nextInt(gangSizes.length)];
         int gpus = tasks >= LARGE_GANG ? 1 : 4;
         double cpus = 7.0 * gpus;
-        yield drawn(id, team, image, Shape.GANG, Priority.NORMAL, tasks, cpus, gpus, 50 * gpus, 100);
+        yield drawn(
+            id, team, image, JobKind.GANG, Priority.NORMAL, tasks, cpus, gpus, 50 * gpus, 100);
       }
-      case URGENT -> drawn(id, team, image, Shape.ARRAY, Priority.HIGH, uniform(1, MOST_URGENT), 2, 0, 4, 20);
-      default -> drawn(id, team, image, Shape.SERVICE, Priority.PRODUCTION, uniform(2, MOST_REPLICAS), 2, 0, 4, 0);
+      case URGENT ->
+          drawn(
+              id, team, image, JobKind.ARRAY, Priority.HIGH,
+              uniform(1, MOST_URGENT), 2, 0, 4, 20);
+      default ->
+          drawn(
+              id, team, image, JobKind.SERVICE, Priority.PRODUCTION,
+              uniform(2, MOST_REPLICAS), 2, 0, 4, 0);
     };
   }
 
@@ -113,11 +123,11 @@
     return least + random.nextInt(most - least + 1);
   }
 
-  private Drawn drawn(
+  private GeneratedJob drawn(
       String id,
       String team,
       String image,
-      Shape shape,
+      JobKind shape,
       Priority priority,
       int tasks,
       double cpus,
@@ -125,14 +135,14 @@
       double memGb,
       double estimateS) {
     String jobClass = image.substring(0, image.indexOf('-'));
-    boolean gang = shape == Shape.GANG;
-    boolean service = shape == Shape.SERVICE;
+    boolean gang = shape == JobKind.GANG;
+    boolean service = shape == JobKind.SERVICE;
     JobSpec spec =
         new JobSpec(
             id, jobClass, team, shape, priority, tasks, cpus, gpus, memGb, image, 1.5, null, null,
             gang, service, false, estimateS, gang ? 20 : 0, gang ? 3 : 0, null);
     boolean cancels = service || random.nextInt(20) == 0;
     Duration cancelAfter = cancels ? Duration.ofSeconds(uniform(5, service ? 150 : 40)) : null;
-    return new Drawn(spec, cancelAfter);
+    return new GeneratedJob(spec, cancelAfter);
   }
 }
--- a/src/main/java/io/tansystack/fleet/FleetDuty.java
+++ b/src/main/java/io/tansystack/fleet/Autoscaler.java
@@ -3,16 +3,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.ControllerLease;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.OwnLease;
-import io.tansystack.cluster.SlotDuty;
+import io.tansystack.cluster.SlotManager;
 import io.tansystack.cluster.StallDetector;
-import io.tansystack.cluster.World;
-import io.tansystack.http.HttpCaller;
-import io.tansystack.http.Loop;
-import io.tansystack.jobs.JobDuty;
-import io.tansystack.recovery.Coverage;
-import io.tansystack.schedule.RentPlanner.Kind;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
+import io.tansystack.jobs.JobScheduler;
+import io.tansystack.recovery.FleetCoverage;
+import io.tansystack.schedule.RentPlanner.MachineOffering;
 import io.tansystack.schedule.Snapshot.MachineState;
 import io.tansystack.schedule.Snapshot;
 import io.tansystack.settings.OperatorSettings;
@@ -20,8 +20,8 @@
 import io.tansystack.store.StoreClient;
 import io.tansystack.wire.Cbor;
 import io.tansystack.wire.MachineType;
-import io.tansystack.workers.View;
-import io.tansystack.workers.WorkerDesk;
+import io.tansystack.workers.MachineView;
+import io.tansystack.workers.WorkerManager;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -31,33 +31,33 @@
 
 /**
  * Deals with the cloud, on the one controller that holds the fleet record: rents for what found no
- * room ({@link Rentals}), returns what is idle ({@link Warmth}), failed or never came up ({@link
+ * room ({@link Rentals}), returns what is idle ({@link ScaleDownPolicy}), failed or never came up ({@link
  * Inventory}), and has silent machines deleted, whose confirmed deletion is the quickest proof that
- * their tasks are over ({@link Returns}).
+ * their tasks are over ({@link MachineReleaser}).
  */
-public final class FleetDuty {
+public final class Autoscaler {
   private static final Duration TURN = Duration.ofMillis(250);
   private static final Duration JUDGE_EVERY = Duration.ofSeconds(1);
   private static final Duration BOOTING_KEPT = Duration.ofMillis(200);
   private static final Duration UNWRITABLE = Duration.ofMillis(3500);
   private static final Duration NEWS_LIFE = Duration.ofSeconds(3);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
-  private final OwnLease lease;
+  private final ClusterState world;
+  private final ControllerLease lease;
   private final StallDetector stall;
-  private final SlotDuty slots;
-  private final TypeDuty types;
+  private final SlotManager slots;
+  private final MachineTypeCatalog types;
   private final OperatorSettings operator;
-  private final WorkerDesk desk;
-  private final Function<String, View> views;
-  private final JobDuty jobs;
-  private final Coverage coverage;
-  private final Returns returns;
+  private final WorkerManager desk;
+  private final Function<String, MachineView> views;
+  private final JobScheduler jobs;
+  private final FleetCoverage coverage;
+  private final MachineReleaser returns;
   private final Inventory inventory;
   private final Rentals rentals;
-  private final Warmth warmth;
+  private final ScaleDownPolicy warmth;
   private Duration judgedAt = Duration.ZERO;
   private long heldVersion;
   private Duration heldSince;
@@ -66,21 +66,21 @@
   private Duration bootingAt;
   private Duration heardAt;
 
-  public FleetDuty(
-      Loop loop,
-      HttpCaller caller,
+  public Autoscaler(
+      EventLoop loop,
+      HttpClient caller,
       StoreClient store,
-      World world,
-      OwnLease lease,
+      ClusterState world,
+      ControllerLease lease,
       StallDetector stall,
-      SlotDuty slots,
-      TypeDuty types,
+      SlotManager slots,
+      MachineTypeCatalog types,
       PlatformSettings settings,
       OperatorSettings operator,
-      WorkerDesk desk,
-      Function<String, View> views,
-      JobDuty jobs,
-      Coverage coverage) {
+      WorkerManager desk,
+      Function<String, MachineView> views,
+      JobScheduler jobs,
+      FleetCoverage coverage) {
     this.loop = loop;
     this.store = store;
     this.world = world;
@@ -95,12 +95,13 @@
     this.coverage = coverage;
     // A list may be as old as this, and older than the one before it.
     Duration listAge = settings.cloudLimits().listLag().multipliedBy(2).plusSeconds(2);
-    Cloud cloud = new Cloud(caller, loop, settings.cloud(), settings.cloudLimits().rps() * 0.9);
-    this.returns = new Returns(loop, cloud, store, world);
+    CloudClient cloud =
+        new CloudClient(caller, loop, settings.cloud(), settings.cloudLimits().rps() * 0.9);
+    this.returns = new MachineReleaser(loop, cloud, store, world);
     this.inventory = new Inventory(loop, cloud, world, types::get, views, returns, listAge);
     this.rentals =
         new Rentals(loop, cloud, store, world, inventory, operator, types::byName, listAge);
-    this.warmth = new Warmth(world, types::get, settings, operator, returns);
+    this.warmth = new ScaleDownPolicy(world, types::get, settings, operator, returns);
     returns.onReturned(inventory::forget);
   }
 
@@ -168,7 +169,7 @@
       String name = record.name();
       owned.merge(record.owner(), 1, Integer::sum);
       Duration silence = desk.silentFor(name);
-      View view = views.apply(name);
+      MachineView view = views.apply(name);
       if (silence == null && view != null && view.token() == world.token(record)) {
         silence = Duration.ofMillis(view.silentMs());
       }
@@ -183,7 +184,7 @@
         (owner, names) -> {
           // Most machines of one owner at once: it is the owner that they can't reach.
           // The first to be silent for long enough are few; those that follow them count too.
-          if (quiet.get(owner) <= Math.max(2, owned.get(owner) * WorkerDesk.MASS)) {
+          if (quiet.get(owner) <= Math.max(2, owned.get(owner) * WorkerManager.MASS)) {
             names.forEach(
                 name -> returns.mark(name, "silent for longer than " + operator.silentDelete()));
           }
@@ -197,9 +198,9 @@
     }
     ObjectNode news = Cbor.map();
     ArrayNode list = news.putArray("booting");
-    List<Kind> booting = inventory.booting(loop.now());
+    List<MachineOffering> booting = inventory.booting(loop.now());
     booting.addAll(rentals.coming());
-    for (Kind kind : booting) {
+    for (MachineOffering kind : booting) {
       list.addObject().put("type", kind.type()).put("zone", kind.zone()).put("spot", kind.spot());
     }
     return news;
--- a/src/main/java/io/tansystack/fleet/BootEstimate.java
+++ b/src/main/java/io/tansystack/fleet/BootTimeEstimator.java
@@ -11,7 +11,7 @@
  * work isn't kept waiting for it; but where most of a type are overdue the cloud itself is slow, and
  * what would be rented instead would be as late.
  */
-final class BootEstimate {
+final class BootTimeEstimator {
   private static final int REMEMBERED = 12;
 
   /** Boot times scatter up to one and a half times what is stated. */
--- a/src/main/java/io/tansystack/fleet/Cloud.java
+++ b/src/main/java/io/tansystack/fleet/CloudClient.java
@@ -1,8 +1,8 @@
 package io.tansystack.fleet;
 
-import io.tansystack.http.CborOutcome;
-import io.tansystack.http.HttpCaller;
-import io.tansystack.http.Loop;
+import io.tansystack.http.CborResponseHandler;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
 import io.tansystack.store.RateBudget;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -11,18 +11,18 @@
  * The cloud's client. Its limit is kept by a budget that may be spent in a burst: what many machines
  * are waited for is asked for at once, and a call spared while nothing was wanted is worth nothing.
  */
-final class Cloud {
+final class CloudClient {
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
   /** The cloud allows bursts worth two seconds; a part is left for who held the duty before. */
   private static final double BURST_S = 1.5;
 
-  private final HttpCaller caller;
-  private final Loop loop;
+  private final HttpClient caller;
+  private final EventLoop loop;
   private final InetSocketAddress address;
   private final RateBudget budget;
 
-  Cloud(HttpCaller caller, Loop loop, InetSocketAddress address, double perSecond) {
+  CloudClient(HttpClient caller, EventLoop loop, InetSocketAddress address, double perSecond) {
     this.caller = caller;
     this.loop = loop;
     this.address = address;
@@ -39,14 +39,14 @@
     return budget.available(loop.now());
   }
 
-  void call(String method, String path, byte[] body, CborOutcome.Answer then) {
+  void call(String method, String path, byte[] body, CborResponseHandler.Callback then) {
     caller.call(
         address,
         method,
         path,
         body,
         TIMEOUT,
-        new CborOutcome(
+        new CborResponseHandler(
             "cloud",
             0,
             (status, map) -> {
--- a/src/main/java/io/tansystack/fleet/Inventory.java
+++ b/src/main/java/io/tansystack/fleet/Inventory.java
@@ -1,16 +1,16 @@
 package io.tansystack.fleet;
 
+import io.tansystack.cluster.ClusterState;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
-import io.tansystack.schedule.RentPlanner.Kind;
-import io.tansystack.wire.BadInput;
-import io.tansystack.wire.CloudWire.Listed;
-import io.tansystack.wire.CloudWire.Status;
-import io.tansystack.wire.CloudWire;
+import io.tansystack.http.EventLoop;
+import io.tansystack.schedule.RentPlanner.MachineOffering;
+import io.tansystack.wire.CloudProtocol.ListedMachine;
+import io.tansystack.wire.CloudProtocol.Status;
+import io.tansystack.wire.CloudProtocol;
+import io.tansystack.wire.InvalidMessageException;
 import io.tansystack.wire.MachineType;
-import io.tansystack.wire.Malformed;
-import io.tansystack.workers.View;
+import io.tansystack.wire.ThrottledLogger;
+import io.tansystack.workers.MachineView;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -30,7 +30,7 @@
   private static final Duration UNCLAIMED = Duration.ofSeconds(40);
 
   private static final class Known {
-    final Kind kind;
+    final MachineOffering kind;
     final double statedBootS;
     final Duration since;
     Status status = Status.BOOTING;
@@ -43,7 +43,7 @@
     boolean rentedHere;
     boolean cameUp;
 
-    Known(Kind kind, double statedBootS, Duration since) {
+    Known(MachineOffering kind, double statedBootS, Duration since) {
       this.kind = kind;
       this.statedBootS = statedBootS;
       this.since = since;
@@ -54,15 +54,16 @@
     }
   }
 
-  private final Malformed malformed = new Malformed(LoggerFactory.getLogger(Inventory.class));
-  private final Loop loop;
-  private final Cloud cloud;
-  private final World world;
+  private final ThrottledLogger malformed =
+      new ThrottledLogger(LoggerFactory.getLogger(Inventory.class));
+  private final EventLoop loop;
+  private final CloudClient cloud;
+  private final ClusterState world;
   private final Function<String, MachineType> types;
-  private final Function<String, View> views;
-  private final Returns returns;
+  private final Function<String, MachineView> views;
+  private final MachineReleaser returns;
   private final Duration listAge;
-  private final BootEstimate boots = new BootEstimate();
+  private final BootTimeEstimator boots = new BootTimeEstimator();
   private final Map<String, Known> known = new TreeMap<>();
   private Duration listedAt = Duration.ofDays(-1);
   private Duration heldSince = Duration.ZERO;
@@ -74,12 +75,12 @@
 
   /** @param listAge a list may be as old as this, and older than the one before it */
   Inventory(
-      Loop loop,
-      Cloud cloud,
-      World world,
+      EventLoop loop,
+      CloudClient cloud,
+      ClusterState world,
       Function<String, MachineType> types,
-      Function<String, View> views,
-      Returns returns,
+      Function<String, MachineView> views,
+      MachineReleaser returns,
       Duration listAge) {
     this.loop = loop;
     this.cloud = cloud;
@@ -121,7 +122,7 @@
     int asked = holding;
     cloud.call(
         "GET",
-        CloudWire.listPath(after),
+        CloudProtocol.listPath(after),
         null,
         (status, map) -> {
           if (asked != holding) {
@@ -133,9 +134,9 @@
             return;
           }
           try {
-            CloudWire.Page page = CloudWire.readPage(map);
+            CloudProtocol.Page page = CloudProtocol.readPage(map);
             String last = after;
-            for (Listed line : page.machines()) {
+            for (ListedMachine line : page.machines()) {
               seen.add(line.machine());
               take(line);
               last = line.machine();
@@ -146,13 +147,13 @@
             }
             complete = true;
             vanished(seen, askedAt);
-          } catch (BadInput e) {
+          } catch (InvalidMessageException e) {
             malformed.tell("the machine list is unreadable", e.getMessage());
           }
         });
   }
 
-  private void take(Listed line) {
+  private void take(ListedMachine line) {
     if (returns.isReturned(line.machine())) {
       return;
     }
@@ -162,7 +163,7 @@
             line.machine(),
             name ->
                 known(
-                    new Kind(line.type(), line.zone(), line.spot()),
+                    new MachineOffering(line.type(), line.zone(), line.spot()),
                     now.minusMillis((long) (line.ageS() * 1000))));
     k.listedAt = now;
     if (k.status != Status.FAILED) {
@@ -173,13 +174,13 @@
     }
   }
 
-  private Known known(Kind kind, Duration since) {
+  private Known known(MachineOffering kind, Duration since) {
     MachineType type = types.apply(kind.type());
     return new Known(kind, type == null ? 60 : type.bootS(), since);
   }
 
   /** The cloud has answered a rental. */
-  void rented(List<String> names, Kind kind, Duration askedAt) {
+  void rented(List<String> names, MachineOffering kind, Duration askedAt) {
     for (String name : names) {
       known.computeIfAbsent(name, n -> known(kind, askedAt)).rentedHere = true;
     }
@@ -205,7 +206,7 @@
       if (!seen.contains(record.name())
           && !known.containsKey(record.name())
           && askedAt.minus(heldSince).compareTo(listAge) > 0) {
-        View view = views.apply(record.name());
+        MachineView view = views.apply(record.name());
         if (view == null || view.silentMs() > 6000) {
           returns.mark(record.name(), "it is not listed");
         }
@@ -256,13 +257,13 @@
 
   /** It was claimed and has not shown that it heard of it: it will at once, or has long ended. */
   private boolean arriving(String name) {
-    View view = views.apply(name);
+    MachineView view = views.apply(name);
     return view != null && view.report().token() == 0;
   }
 
   /** What counts as room about to come. */
-  List<Kind> booting(Duration now) {
-    List<Kind> booting = new ArrayList<>();
+  List<MachineOffering> booting(Duration now) {
+    List<MachineOffering> booting = new ArrayList<>();
     for (Map.Entry<String, Known> entry : known.entrySet()) {
       Known k = entry.getValue();
       if ((world.machine(entry.getKey()) == null || arriving(entry.getKey()))
--- a/src/main/java/io/tansystack/fleet/Starts.java
+++ b/src/main/java/io/tansystack/fleet/JobArrivals.java
@@ -1,6 +1,6 @@
 package io.tansystack.fleet;
 
-import io.tansystack.cluster.World.Job;
+import io.tansystack.cluster.ClusterState.Job;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
 import java.time.Duration;
@@ -14,7 +14,7 @@
  * How much work has come lately: what comes while a machine boots is what machines have to be kept ready
  * for. Jobs are counted when they are first seen.
  */
-final class Starts {
+final class JobArrivals {
   private static final Duration REMEMBERED = Duration.ofMinutes(5);
   private static final int MAX_REMEMBERED = 20_000;
 
--- a/src/main/java/io/tansystack/fleet/MachineWrites.java
+++ b/src/main/java/io/tansystack/fleet/MachineRecordWriter.java
@@ -1,10 +1,10 @@
 package io.tansystack.fleet;
 
+import io.tansystack.store.StoreClient.CommitCallback;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
-import io.tansystack.store.StoreClient.Committed;
-import io.tansystack.store.StoreClient.Result;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -19,13 +19,13 @@
  * fleet was gone (dunavtrack, day rough: 180 s without one while 75 jobs waited). So they are gathered,
  * a few share a transaction, and they take what placements leave of the write limit.
  */
-final class MachineWrites {
+final class MachineRecordWriter {
   /** Few enough for a controller's part of any write limit to hold twice as many. */
   private static final int AT_ONCE = 5;
 
   private static final int MAX_OPEN = 2;
 
-  private record Wanted(Condition condition, Write write, Committed then) {}
+  private record Wanted(Condition condition, Write write, CommitCallback then) {}
 
   private final StoreClient store;
   private final Map<String, Wanted> waiting = new LinkedHashMap<>();
@@ -35,12 +35,12 @@
 
   private int open;
 
-  MachineWrites(StoreClient store) {
+  MachineRecordWriter(StoreClient store) {
     this.store = store;
   }
 
   /** Asks for a change of the machine's record; a later one replaces one that was not sent yet. */
-  void add(String machine, Condition condition, Write write, Committed then) {
+  void add(String machine, Condition condition, Write write, CommitCallback then) {
     waiting.put(machine, new Wanted(condition, write, then));
   }
 
@@ -54,7 +54,7 @@
     List<Wanted> dropped = List.copyOf(waiting.values());
     waiting.clear();
     alone.clear();
-    dropped.forEach(wanted -> wanted.then.done(Result.REFUSED, 0));
+    dropped.forEach(wanted -> wanted.then.done(CommitResult.REFUSED, 0));
   }
 
   /** Sends what the write limit has room for. */
@@ -86,7 +86,7 @@
   private void send(List<String> batch) {
     List<Condition> conditions = new ArrayList<>();
     List<Write> writes = new ArrayList<>();
-    List<Committed> told = new ArrayList<>();
+    List<CommitCallback> told = new ArrayList<>();
     for (String machine : batch) {
       Wanted wanted = waiting.remove(machine);
       conditions.add(wanted.condition);
@@ -99,9 +99,9 @@
         writes,
         (result, revision) -> {
           open--;
-          if (result == Result.DONE) {
+          if (result == CommitResult.DONE) {
             batch.forEach(alone::remove);
-          } else if (result == Result.CONFLICT || result == Result.MALFORMED) {
+          } else if (result == CommitResult.CONFLICT || result == CommitResult.MALFORMED) {
             alone.addAll(batch);
           }
           told.forEach(then -> then.done(result, revision));
--- a/src/main/java/io/tansystack/fleet/Returns.java
+++ b/src/main/java/io/tansystack/fleet/MachineReleaser.java
@@ -1,13 +1,13 @@
 package io.tansystack.fleet;
 
+import io.tansystack.cluster.ClusterState;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
-import io.tansystack.store.StoreClient.Committed;
-import io.tansystack.store.StoreClient.Result;
+import io.tansystack.http.EventLoop;
+import io.tansystack.store.StoreClient.CommitCallback;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.CloudWire;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.CloudProtocol;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -21,27 +21,27 @@
 import org.slf4j.LoggerFactory;
 
 /** Empties machines and gives them back. A confirmed deletion is the proof that all on it is over. */
-final class Returns {
-  private static final Logger log = LoggerFactory.getLogger(Returns.class);
+final class MachineReleaser {
+  private static final Logger log = LoggerFactory.getLogger(MachineReleaser.class);
   private static final int MAX_REMEMBERED = 2000;
 
-  private final Loop loop;
-  private final Cloud cloud;
+  private final EventLoop loop;
+  private final CloudClient cloud;
   private final StoreClient store;
-  private final World world;
-  private final MachineWrites writes;
+  private final ClusterState world;
+  private final MachineRecordWriter writes;
   private final Map<String, String> marked = new LinkedHashMap<>();
   private final Set<String> returned = new LinkedHashSet<>();
   private final Set<String> draining = new HashSet<>();
   private Consumer<String> onReturned = name -> {};
   private boolean calling;
 
-  Returns(Loop loop, Cloud cloud, StoreClient store, World world) {
+  MachineReleaser(EventLoop loop, CloudClient cloud, StoreClient store, ClusterState world) {
     this.loop = loop;
     this.cloud = cloud;
     this.store = store;
     this.world = world;
-    this.writes = new MachineWrites(store);
+    this.writes = new MachineRecordWriter(store);
   }
 
   /** Who is told of each machine that the cloud has confirmed as deleted. */
@@ -76,14 +76,14 @@
     if (!draining.add(record.name())) {
       return;
     }
-    String key = World.machineKey(record.name());
+    String key = ClusterState.machineKey(record.name());
     writes.add(
         record.name(),
         record.condition(),
         new Write(key, record.draining().write(), 0),
         (result, revision) -> {
           log.info("drain machine={} result={} because={}", record.name(), result, why);
-          if (result != Result.DONE) {
+          if (result != CommitResult.DONE) {
             loop.after(Duration.ofSeconds(1), () -> draining.remove(record.name()));
           }
         });
@@ -105,7 +105,7 @@
     }
     List<String> batch = new ArrayList<>();
     for (String name : marked.keySet()) {
-      if (batch.size() < CloudWire.MAX_DELETE) {
+      if (batch.size() < CloudProtocol.MAX_DELETE) {
         batch.add(name);
       }
     }
@@ -113,7 +113,7 @@
     cloud.call(
         "POST",
         "/machines/delete",
-        CloudWire.delete(batch),
+        CloudProtocol.delete(batch),
         (status, map) -> {
           calling = false;
           if (status != 200) {
@@ -135,9 +135,9 @@
     if (record == null) {
       return;
     }
-    Committed then =
+    CommitCallback then =
         (result, revision) -> {
-          if (result == Result.DONE) {
+          if (result == CommitResult.DONE) {
             log.info("gone machine={} because=the cloud confirmed its deletion", name);
           } else {
             // The deletion is a fact; it can be confirmed again and written then.
--- a/src/main/java/io/tansystack/fleet/TypeDuty.java
+++ b/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
@@ -1,15 +1,15 @@
 package io.tansystack.fleet;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.cluster.World;
-import io.tansystack.http.HttpCaller;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
 import io.tansystack.settings.PlatformSettings;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.BadInput;
+import io.tansystack.wire.InvalidMessageException;
 import io.tansystack.wire.MachineType;
-import io.tansystack.wire.Malformed;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Write;
+import io.tansystack.wire.ThrottledLogger;
 import java.time.Duration;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -21,24 +21,29 @@
  * Knows the machine types. They are kept in the state service too, so that a controller that starts
  * while the cloud is away can still tell what can run.
  */
-public final class TypeDuty {
+public final class MachineTypeCatalog {
   private static final Duration REFRESH = Duration.ofMinutes(3);
 
-  private final Malformed malformed = new Malformed(LoggerFactory.getLogger(TypeDuty.class));
-  private final Loop loop;
+  private final ThrottledLogger malformed =
+      new ThrottledLogger(LoggerFactory.getLogger(MachineTypeCatalog.class));
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
-  private final Cloud cloud;
+  private final ClusterState world;
+  private final CloudClient cloud;
   private Map<String, MachineType> types = Map.of();
   private ObjectNode readFrom;
   private boolean asked;
 
-  public TypeDuty(
-      Loop loop, StoreClient store, World world, HttpCaller caller, PlatformSettings settings) {
+  public MachineTypeCatalog(
+      EventLoop loop,
+      StoreClient store,
+      ClusterState world,
+      HttpClient caller,
+      PlatformSettings settings) {
     this.loop = loop;
     this.store = store;
     this.world = world;
-    this.cloud = new Cloud(caller, loop, settings.cloud(), settings.cloudLimits().rps());
+    this.cloud = new CloudClient(caller, loop, settings.cloud(), settings.cloudLimits().rps());
   }
 
   public void start() {
@@ -61,7 +66,10 @@
       return; // Prices move all the time; what a machine holds does not.
     }
     store.commitUrgent(
-        List.of(), List.of(new Write(World.TYPES_KEY, map, 0)), Duration.ofSeconds(2), (r, v) -> {});
+        List.of(),
+        List.of(new Write(ClusterState.TYPES_KEY, map, 0)),
+        Duration.ofSeconds(2),
+        (r, v) -> {});
   }
 
   private boolean take(ObjectNode map) {
@@ -72,7 +80,7 @@
       }
       types = next;
       return !next.isEmpty();
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       malformed.tell("machine types are unreadable", e.getMessage());
       return false;
     }
--- a/src/main/java/io/tansystack/fleet/Rentals.java
+++ b/src/main/java/io/tansystack/fleet/Rentals.java
@@ -3,22 +3,22 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
-import io.tansystack.schedule.Plan.Unmet;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.http.EventLoop;
+import io.tansystack.schedule.Plan.UnmetDemand;
+import io.tansystack.schedule.RentPlanner.MachineOffering;
 import io.tansystack.schedule.RentPlanner;
-import io.tansystack.schedule.RentPlanner.Kind;
 import io.tansystack.settings.OperatorSettings;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
-import io.tansystack.store.StoreClient.Result;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.CloudWire;
+import io.tansystack.wire.CloudProtocol;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
 import io.tansystack.wire.MachineType;
-import io.tansystack.wire.Malformed;
-import io.tansystack.wire.Read;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
+import io.tansystack.wire.ThrottledLogger;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -49,7 +49,7 @@
   /** A request. */
   private static final class Request {
     final String id;
-    final Kind kind;
+    final MachineOffering kind;
     final int count;
 
     /** How many came of it; -1 while that is unknown. */
@@ -64,7 +64,7 @@
     boolean calling;
     Duration askAt = Duration.ZERO;
 
-    Request(String id, Kind kind, int count) {
+    Request(String id, MachineOffering kind, int count) {
       this.id = id;
       this.kind = kind;
       this.count = count;
@@ -75,28 +75,32 @@
       return map.put("spot", kind.spot()).put("count", count).put("got", got);
     }
 
-    static Request read(ObjectNode map, Duration now) throws BadInput {
-      Kind kind = new Kind(Read.text(map, "type"), Read.text(map, "zone"), Read.flag(map, "spot"));
-      int count = (int) Read.integer(map, "count", 1, CloudWire.MAX_RENT);
-      Request request = new Request(Read.text(map, "id"), kind, count);
+    static Request read(ObjectNode map, Duration now) throws InvalidMessageException {
+      MachineOffering kind =
+          new MachineOffering(
+              FieldReader.text(map, "type"),
+              FieldReader.text(map, "zone"),
+              FieldReader.flag(map, "spot"));
+      int count = (int) FieldReader.integer(map, "count", 1, CloudProtocol.MAX_RENT);
+      Request request = new Request(FieldReader.text(map, "id"), kind, count);
       request.got = Math.min(map.path("got").asInt(-1), count);
       request.answeredAt = request.got < 0 ? null : now;
       return request;
     }
   }
 
-  private final Malformed malformed = new Malformed(log);
-  private final Loop loop;
-  private final Cloud cloud;
+  private final ThrottledLogger malformed = new ThrottledLogger(log);
+  private final EventLoop loop;
+  private final CloudClient cloud;
   private final StoreClient store;
-  private final World world;
+  private final ClusterState world;
   private final Inventory inventory;
   private final OperatorSettings operator;
   private final Supplier<Map<String, MachineType>> types;
   private final Duration listAge;
   private final Map<String, Request> requests = new LinkedHashMap<>();
-  private final Map<Kind, Duration> blockedUntil = new HashMap<>();
-  private final Map<Kind, Integer> refusals = new HashMap<>();
+  private final Map<MachineOffering, Duration> blockedUntil = new HashMap<>();
+  private final Map<MachineOffering, Integer> refusals = new HashMap<>();
   private long fleetVersion;
   private long journalVersion;
   private long counter;
@@ -108,10 +112,10 @@
   private String waitsFor = "";
 
   Rentals(
-      Loop loop,
-      Cloud cloud,
+      EventLoop loop,
+      CloudClient cloud,
       StoreClient store,
-      World world,
+      ClusterState world,
       Inventory inventory,
       OperatorSettings operator,
       Supplier<Map<String, MachineType>> types,
@@ -136,27 +140,27 @@
     requests.clear();
     blockedUntil.clear();
     waitsFor = "";
-    World.Journal journal = world.rentals();
+    ClusterState.RentalJournal journal = world.rentals();
     inherited = journal != null;
     if (journal == null) {
       return;
     }
     journalVersion = Math.max(journalVersion, journal.version());
     try {
-      for (JsonNode node : Read.list(journal.value(), "requests")) {
-        Request request = Request.read(Read.map(node, "requests"), now);
+      for (JsonNode node : FieldReader.list(journal.value(), "requests")) {
+        Request request = Request.read(FieldReader.map(node, "requests"), now);
         requests.put(request.id, request);
       }
       log.info("rentals of before: {}", requests.keySet());
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       log.warn("the journal of rentals is unreadable: {}", e.getMessage());
       inherited = false;
     }
   }
 
   /** Machines asked for that no list and no answer to this controller has named yet. */
-  List<Kind> coming() {
-    List<Kind> coming = new ArrayList<>();
+  List<MachineOffering> coming() {
+    List<MachineOffering> coming = new ArrayList<>();
     for (Request r : requests.values()) {
       if (!r.named) {
         coming.addAll(Collections.nCopies(r.got < 0 ? r.count : r.got, r.kind));
@@ -166,7 +170,7 @@
   }
 
   /** Rents what found no room, beyond what is coming. */
-  void turn(List<Unmet> unmet, Duration now) {
+  void turn(List<UnmetDemand> unmet, Duration now) {
     dirty |=
         requests.values().removeIf(
             r -> r.got >= 0 && now.minus(r.answeredAt).compareTo(listAge) > 0);
@@ -185,7 +189,7 @@
   }
 
   /** As many requests as calls may be made now, the most urgent first: what is left is decided anew. */
-  private List<Request> decide(List<Unmet> unmet, Duration now) {
+  private List<Request> decide(List<UnmetDemand> unmet, Duration now) {
     int calls = Math.min(cloud.available(), MAX_OPEN - requests.size());
     if (unmet.isEmpty() || calls <= 0) {
       return List.of();
@@ -198,9 +202,9 @@
     if (!reason.isEmpty()) {
       return List.of();
     }
-    List<Kind> coming = inventory.booting(now);
+    List<MachineOffering> coming = inventory.booting(now);
     coming.addAll(coming());
-    Map<Kind, Integer> lacking =
+    Map<MachineOffering, Integer> lacking =
         RentPlanner.decide(
             unmet,
             coming,
@@ -210,10 +214,10 @@
     List<Request> wanted = new ArrayList<>();
     lacking.forEach(
         (kind, count) -> {
-          for (int left = count; left > 0; left -= CloudWire.MAX_RENT) {
+          for (int left = count; left > 0; left -= CloudProtocol.MAX_RENT) {
             if (wanted.size() < calls) {
               String id = "r-" + fleetVersion + "-" + ++counter;
-              wanted.add(new Request(id, kind, Math.min(left, CloudWire.MAX_RENT)));
+              wanted.add(new Request(id, kind, Math.min(left, CloudProtocol.MAX_RENT)));
             }
           }
         });
@@ -240,20 +244,20 @@
     ObjectNode value = Cbor.map();
     ArrayNode list = value.putArray("requests");
     requests.values().forEach(r -> list.add(r.write()));
-    World.Journal shown = world.rentals();
+    ClusterState.RentalJournal shown = world.rentals();
     journalVersion = Math.max(journalVersion, shown == null ? 0 : shown.version());
     dirty = false;
     long holding = fleetVersion;
     store.commitUrgent(
         List.of(
-            new Condition(World.FLEET_KEY, fleetVersion),
-            new Condition(World.RENTALS_KEY, journalVersion)),
-        List.of(new Write(World.RENTALS_KEY, value, 0)),
+            new Condition(ClusterState.FLEET_KEY, fleetVersion),
+            new Condition(ClusterState.RENTALS_KEY, journalVersion)),
+        List.of(new Write(ClusterState.RENTALS_KEY, value, 0)),
         Duration.ofSeconds(1),
         (result, revision) -> {
           writing = false;
           writtenAt = loop.now();
-          if (result != Result.DONE || holding != fleetVersion) {
+          if (result != CommitResult.DONE || holding != fleetVersion) {
             // Never sent; if it was written nevertheless, the next writing leaves it out.
             log.info("rentals not written: {}", result);
             wanted.forEach(r -> requests.remove(r.id, r));
@@ -274,11 +278,11 @@
   private void ask(Request r) {
     r.calling = true;
     Duration at = loop.now();
-    Kind kind = r.kind;
+    MachineOffering kind = r.kind;
     cloud.call(
         "POST",
         "/machines",
-        CloudWire.rent(r.id, kind.type(), kind.zone(), kind.spot(), r.count),
+        CloudProtocol.rent(r.id, kind.type(), kind.zone(), kind.spot(), r.count),
         (status, map) -> {
           r.calling = false;
           if (requests.get(r.id) != r) {
@@ -286,8 +290,8 @@
           }
           List<String> names = List.of();
           try {
-            names = status == 200 ? CloudWire.readRented(map) : names;
-          } catch (BadInput e) {
+            names = status == 200 ? CloudProtocol.readRented(map) : names;
+          } catch (InvalidMessageException e) {
             malformed.tell("the answer to rental " + r.id + " is unreadable", e.getMessage());
             status = 0;
           }
--- a/src/main/java/io/tansystack/fleet/Warmth.java
+++ b/src/main/java/io/tansystack/fleet/ScaleDownPolicy.java
@@ -1,8 +1,8 @@
 package io.tansystack.fleet;
 
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.World.Job;
-import io.tansystack.cluster.World;
 import io.tansystack.schedule.Consolidation;
 import io.tansystack.schedule.Plan;
 import io.tansystack.schedule.Snapshot;
@@ -24,7 +24,7 @@
  * How long machines are kept that nothing runs on, and which are emptied because their replicas fit
  * elsewhere.
  */
-final class Warmth {
+final class ScaleDownPolicy {
   private static final Duration SETTLE = Duration.ofSeconds(15);
   private static final double MAX_KEEP = 12;
 
@@ -43,23 +43,23 @@
   /** The latest job of a class, and when it was first seen here. */
   private record Arrival(JobSpec spec, long submittedMs, Duration at) {}
 
-  private final World world;
+  private final ClusterState world;
   private final Function<String, MachineType> types;
   private final PlatformSettings settings;
   private final OperatorSettings operator;
-  private final Returns returns;
+  private final MachineReleaser returns;
   private final Map<String, Arrival> arrivals = new HashMap<>();
-  private final Starts starts = new Starts();
+  private final JobArrivals starts = new JobArrivals();
   private final Map<String, Duration> idleSince = new HashMap<>();
   private Duration heldSince = Duration.ZERO;
   private Duration lastBusy = Duration.ZERO;
 
-  Warmth(
-      World world,
+  ScaleDownPolicy(
+      ClusterState world,
       Function<String, MachineType> types,
       PlatformSettings settings,
       OperatorSettings operator,
-      Returns returns) {
+      MachineReleaser returns) {
     this.world = world;
     this.types = types;
     this.settings = settings;
--- a/src/main/java/io/tansystack/http/Bodies.java
+++ b/src/main/java/io/tansystack/http/BodyReader.java
@@ -14,10 +14,10 @@
  * Reads whole bodies. Undertow's own receiver takes them byte by byte, which on the first compiler
  * tier came to a twentieth of all processor time of a busy controller.
  */
-final class Bodies {
+final class BodyReader {
   private static final byte[] NONE = new byte[0];
 
-  private Bodies() {}
+  private BodyReader() {}
 
   /** Moves what the buffer holds to the end of the body. */
   static void append(ByteArrayOutputStream body, ByteBuffer buffer) {
--- a/src/main/java/io/tansystack/http/CborOutcome.java
+++ b/src/main/java/io/tansystack/http/CborResponseHandler.java
@@ -1,27 +1,28 @@
 package io.tansystack.http;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Malformed;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.ThrottledLogger;
 import org.slf4j.LoggerFactory;
 
 /** The outcome of a request whose answer is a CBOR map, as the published interfaces have it. */
-public final class CborOutcome implements HttpCaller.Outcome {
+public final class CborResponseHandler implements HttpClient.ResponseHandler {
   /** One for all: an outcome lives for one request. */
-  private static final Malformed MALFORMED = new Malformed(LoggerFactory.getLogger(CborOutcome.class));
+  private static final ThrottledLogger MALFORMED =
+      new ThrottledLogger(LoggerFactory.getLogger(CborResponseHandler.class));
 
   /** An answer's status and, if it could be read, its body. Status 0 stands for no answer. */
-  public interface Answer {
+  public interface Callback {
     void take(int status, ObjectNode body);
   }
 
   private final String service;
   private final int ifRefused;
-  private final Answer then;
+  private final Callback then;
 
   /** @param ifRefused the status that a refused connection counts as: nothing was sent */
-  public CborOutcome(String service, int ifRefused, Answer then) {
+  public CborResponseHandler(String service, int ifRefused, Callback then) {
     this.service = service;
     this.ifRefused = ifRefused;
     this.then = then;
@@ -32,7 +33,7 @@
     ObjectNode map = null;
     try {
       map = Cbor.decodeMap(answer);
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       if (status == 200) {
         MALFORMED.tell(service + ": unreadable answer", e.getMessage());
         then.take(0, null);
--- a/src/main/java/io/tansystack/http/Loop.java
+++ b/src/main/java/io/tansystack/http/EventLoop.java
@@ -7,7 +7,7 @@
  * The one event loop that owns all scheduling state. In the service it is the XNIO I/O thread, so
  * that an answer needs no change of thread on a fraction of a core; tests put simulated time here.
  */
-public interface Loop extends Executor {
+public interface EventLoop extends Executor {
   /** Steady time since an arbitrary start; never goes back. */
   Duration now();
 
--- a/src/main/java/io/tansystack/http/HttpCaller.java
+++ b/src/main/java/io/tansystack/http/HttpClient.java
@@ -4,9 +4,9 @@
 import java.time.Duration;
 
 /** Sends one request and tells its outcome on the loop; the seam at which tests put stand-ins. */
-public interface HttpCaller {
+public interface HttpClient {
   /** What came of a request. */
-  interface Outcome {
+  interface ResponseHandler {
     /** An answer arrived in whole. */
     void answer(int status, byte[] body);
 
@@ -23,5 +23,5 @@
       String path,
       byte[] body,
       Duration timeout,
-      Outcome outcome);
+      ResponseHandler outcome);
 }
--- a/src/main/java/io/tansystack/http/ServiceHandler.java
+++ b/src/main/java/io/tansystack/http/ServiceHandler.java
@@ -35,14 +35,14 @@
       return;
     }
     exchange.setMaxEntitySize(maxBody);
-    Bodies.receive(exchange, body -> serve(exchange, body), () -> refuseLarge(exchange));
+    BodyReader.receive(exchange, body -> serve(exchange, body), () -> refuseLarge(exchange));
   }
 
   private void serve(HttpServerExchange exchange, byte[] body) {
     Answer answer = new Answer(exchange);
     String method = exchange.getRequestMethod().toString();
     String path = withQuery ? pathWithQuery(exchange) : exchange.getRequestPath();
-    XnioLoop.guarded(() -> service.handle(method, path, body, answer));
+    XnioEventLoop.guarded(() -> service.handle(method, path, body, answer));
     if (!answer.sent) {
       exchange.dispatch(); // The answer comes later; until then the exchange stays open.
     }
--- a/src/main/java/io/tansystack/http/UndertowCaller.java
+++ b/src/main/java/io/tansystack/http/UndertowHttpClient.java
@@ -31,18 +31,19 @@
  * loop's thread. Waiting requests and connections are bounded for each address, and a request that
  * is not answered in time closes its connection, so that a late answer can't be taken for another's.
  */
-public final class UndertowCaller implements HttpCaller {
+public final class UndertowHttpClient implements HttpClient {
   private static final int MAX_WAITING = 256;
   private static final int MAX_STALE = 4;
   private static final int MAX_ANSWER = 64 << 20;
 
   private final XnioIoThread thread;
-  private final Loop loop;
+  private final EventLoop loop;
   private final ByteBufferPool buffers;
   private final int maxPerAddress;
   private final Map<InetSocketAddress, Pool> pools = new HashMap<>();
 
-  public UndertowCaller(XnioIoThread thread, Loop loop, ByteBufferPool buffers, int maxPerAddress) {
+  public UndertowHttpClient(
+      XnioIoThread thread, EventLoop loop, ByteBufferPool buffers, int maxPerAddress) {
     this.thread = thread;
     this.loop = loop;
     this.buffers = buffers;
@@ -65,12 +66,17 @@
     final Pool pool;
     final ClientRequest request;
     final byte[] body;
-    final Outcome outcome;
-    Loop.Timer timer;
+    final ResponseHandler outcome;
+    EventLoop.Timer timer;
     ClientConnection connection;
     boolean over;
 
-    Call(InetSocketAddress to, Pool pool, ClientRequest request, byte[] body, Outcome outcome) {
+    Call(
+        InetSocketAddress to,
+        Pool pool,
+        ClientRequest request,
+        byte[] body,
+        ResponseHandler outcome) {
       this.to = to;
       this.pool = pool;
       this.request = request;
@@ -86,7 +92,7 @@
       String path,
       byte[] body,
       Duration timeout,
-      Outcome outcome) {
+      ResponseHandler outcome) {
     Pool pool = pools.computeIfAbsent(to, key -> new Pool());
     ClientRequest request =
         new ClientRequest().setMethod(new HttpString(method)).setPath(path);
@@ -299,7 +305,7 @@
                 return;
               }
               buffer.flip();
-              Bodies.append(body, buffer);
+              BodyReader.append(body, buffer);
               if (body.size() > MAX_ANSWER) {
                 fail(call, false);
                 return;
@@ -323,6 +329,6 @@
     ClientConnection connection = call.connection;
     // The connection is handed on only after Undertow has finished with this exchange.
     loop.execute(() -> next(call.pool, connection));
-    XnioLoop.guarded(() -> call.outcome.answer(status, body));
+    XnioEventLoop.guarded(() -> call.outcome.answer(status, body));
   }
 }
--- a/src/main/java/io/tansystack/http/XnioLoop.java
+++ b/src/main/java/io/tansystack/http/XnioEventLoop.java
@@ -8,11 +8,11 @@
 import org.xnio.XnioIoThread;
 
 /** The loop on an XNIO I/O thread. A task that fails is logged and never ends the thread. */
-public final class XnioLoop implements Loop {
-  private static final Logger log = LoggerFactory.getLogger(XnioLoop.class);
+public final class XnioEventLoop implements EventLoop {
+  private static final Logger log = LoggerFactory.getLogger(XnioEventLoop.class);
   private final XnioIoThread thread;
 
-  public XnioLoop(XnioIoThread thread) {
+  public XnioEventLoop(XnioIoThread thread) {
     this.thread = thread;
   }
 
--- a/src/main/java/io/tansystack/jobs/FailureMemory.java
+++ b/src/main/java/io/tansystack/jobs/FailureTracker.java
@@ -15,7 +15,7 @@
  * that are not suspected is passed over for a while. One task's success clears its job and its
  * machine. Lost with the process, by intent: the next holder finds out for the price of one round.
  */
-final class FailureMemory {
+final class FailureTracker {
   private static final Duration AVOID = Duration.ofSeconds(30);
 
   /** By then a machine that replicas are moved off is clear, or is not going to be. */
--- a/src/main/java/io/tansystack/jobs/ForeignProofs.java
+++ b/src/main/java/io/tansystack/jobs/FallbackProofWriter.java
@@ -1,14 +1,14 @@
 package io.tansystack.jobs;
 
-import io.tansystack.cluster.SlotDuty;
-import io.tansystack.cluster.World.Job;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.SlotManager;
+import io.tansystack.http.EventLoop;
 import io.tansystack.records.JobRecord;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
-import io.tansystack.workers.Proofs;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
+import io.tansystack.workers.TerminationProofs;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Proofs for jobs of other controllers' slots that nobody takes in. */
-final class ForeignProofs {
-  private static final Logger log = LoggerFactory.getLogger(ForeignProofs.class);
+final class FallbackProofWriter {
+  private static final Logger log = LoggerFactory.getLogger(FallbackProofWriter.class);
   private static final Duration FOREIGN_AFTER = Duration.ofMillis(2500);
 
   /**
@@ -32,22 +32,22 @@
 
   private record Unabsorbed(long version, Duration since) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
-  private final SlotDuty slots;
-  private final JobBook book;
+  private final ClusterState world;
+  private final SlotManager slots;
+  private final SchedulingState book;
   private final Predicate<String> acts;
   private final Runnable wake;
   private final Map<String, Unabsorbed> unabsorbed = new HashMap<>();
 
   /** @param acts whether a controller is heard of here and says that it may act */
-  ForeignProofs(
-      Loop loop,
+  FallbackProofWriter(
+      EventLoop loop,
       StoreClient store,
-      World world,
-      SlotDuty slots,
-      JobBook book,
+      ClusterState world,
+      SlotManager slots,
+      SchedulingState book,
       Predicate<String> acts,
       Runnable wake) {
     this.loop = loop;
@@ -78,7 +78,7 @@
         unabsorbed.put(id, new Unabsorbed(job.version(), now));
         continue;
       }
-      World.Holder holder = world.slot(job.slot());
+      ClusterState.Holder holder = world.slot(job.slot());
       boolean held =
           holder != null && world.alive(holder.label(), holder.boot()) && acts.test(holder.label());
       Duration after = held ? HOLDER_ACTS : FOREIGN_AFTER;
@@ -87,14 +87,14 @@
       }
       unabsorbed.remove(id);
       List<Condition> conditions = new ArrayList<>(job.unchanged());
-      Drafts.addProofConditions(book.proofs(id), new HashSet<>(), conditions);
+      JobUpdateBuilder.addProofConditions(book.proofs(id), new HashSet<>(), conditions);
       JobRecord next = book.effective().get(id);
       log.info("taking in proofs for job={} of another's slot {}", id, job.slot());
-      DropLog.log(id, book.proofs(id), world.revision());
+      DroppedPlacementLog.log(id, book.proofs(id), world.revision());
       book.writing(job, next);
       store.commitReserved(
           conditions,
-          List.of(new Write(World.jobKey(id), next.write(), 0)),
+          List.of(new Write(ClusterState.jobKey(id), next.write(), 0)),
           (result, revision) ->
               loop.after(
                   Duration.ofMillis(300),
--- a/src/main/java/io/tansystack/jobs/Overseer.java
+++ b/src/main/java/io/tansystack/jobs/JobHealthMonitor.java
@@ -1,12 +1,12 @@
 package io.tansystack.jobs;
 
-import io.tansystack.cluster.SlotDuty;
-import io.tansystack.cluster.World.Job;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.SlotManager;
+import io.tansystack.http.EventLoop;
 import io.tansystack.records.JobRecord;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.HashMap;
@@ -21,23 +21,27 @@
  * Names what somebody ought to look at, once each: work that makes no progress, work that no machine
  * can be had for, and deadlines about to be missed. Nobody need be awake to notice by chance.
  */
-public final class Overseer {
-  private static final Logger log = LoggerFactory.getLogger(Overseer.class);
+public final class JobHealthMonitor {
+  private static final Logger log = LoggerFactory.getLogger(JobHealthMonitor.class);
   private static final Duration STUCK = Duration.ofSeconds(120);
   private static final Duration TURN = Duration.ofSeconds(5);
 
   private record Progress(int done, long attempt, int placed, Duration since) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final InstantSource clock;
-  private final World world;
-  private final SlotDuty slots;
+  private final ClusterState world;
+  private final SlotManager slots;
   private final Predicate<String> unmet;
   private final Map<String, Progress> progress = new HashMap<>();
   private final Set<String> warned = new HashSet<>();
 
-  public Overseer(
-      Loop loop, InstantSource clock, World world, SlotDuty slots, Predicate<String> unmet) {
+  public JobHealthMonitor(
+      EventLoop loop,
+      InstantSource clock,
+      ClusterState world,
+      SlotManager slots,
+      Predicate<String> unmet) {
     this.loop = loop;
     this.clock = clock;
     this.world = world;
@@ -87,7 +91,7 @@
           "nothing of it has been placed for " + still.toSeconds() + " s");
     }
     double expected = spec.estimateS() * 4 + STUCK.toSeconds();
-    if (spec.shape() != Shape.SERVICE
+    if (spec.shape() != JobKind.SERVICE
         && record.placedCount() > 0
         && still.toSeconds() > expected) {
       warn(job, "stuck", "no task has ended or started for " + still.toSeconds() + " s");
--- a/src/main/java/io/tansystack/jobs/Lookup.java
+++ b/src/main/java/io/tansystack/jobs/JobLookup.java
@@ -1,14 +1,14 @@
 package io.tansystack.jobs;
 
-import io.tansystack.cluster.World.Job;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.http.EventLoop;
 import io.tansystack.records.JobRecord;
-import io.tansystack.store.StoreClient.Got;
+import io.tansystack.store.StoreClient.ReadCallback;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.BadInput;
-import io.tansystack.wire.Malformed;
-import io.tansystack.wire.StoreWire.Change;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.StoreProtocol.Change;
+import io.tansystack.wire.ThrottledLogger;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
@@ -19,12 +19,12 @@
  * the state service; one that was accepted together with others has none until it is acted on, so
  * only a copy of the records that holds all that was committed before the question may deny a job.
  */
-final class Lookup {
+final class JobLookup {
   private static final Duration ASK_AFTER = Duration.ofMillis(200);
   private static final Duration LONGEST_WAIT = Duration.ofMillis(700);
 
   /** What was found. */
-  interface Found {
+  interface LookupCallback {
     /** The record, and the version of the job's own key: 0 where it has none yet. */
     void take(JobRecord record, long version);
 
@@ -37,16 +37,17 @@
 
   private record Waiting(Duration at, Consumer<Boolean> then) {}
 
-  private final Malformed malformed = new Malformed(LoggerFactory.getLogger(Lookup.class));
-  private final Loop loop;
+  private final ThrottledLogger malformed =
+      new ThrottledLogger(LoggerFactory.getLogger(JobLookup.class));
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
+  private final ClusterState world;
   private final Runnable confirm;
   private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
   private Duration syncedAt;
 
   /** @param confirm asks whether the copy is complete, where nothing changes */
-  Lookup(Loop loop, StoreClient store, World world, Runnable confirm) {
+  JobLookup(EventLoop loop, StoreClient store, ClusterState world, Runnable confirm) {
     this.loop = loop;
     this.store = store;
     this.world = world;
@@ -89,9 +90,9 @@
   }
 
   /** @param askedAt when the question came: what was committed before that is found */
-  void find(String id, Duration askedAt, Found found) {
+  void find(String id, Duration askedAt, LookupCallback found) {
     read(
-        World.jobKey(id),
+        ClusterState.jobKey(id),
         found,
         change -> {
           if (change != null) {
@@ -102,10 +103,10 @@
         });
   }
 
-  private void read(String key, Found found, Consumer<Change> then) {
+  private void read(String key, LookupCallback found, Consumer<Change> then) {
     store.get(
         key,
-        new Got() {
+        new ReadCallback() {
           @Override
           public void value(Change change) {
             then.accept(change);
@@ -122,18 +123,18 @@
    * A read that took long tells of what stood when it was made. If the copy has seen the job's end since,
    * its user may have been told of that by another controller, and must not hear less from this one.
    */
-  private void take(String id, Change change, Found found) {
+  private void take(String id, Change change, LookupCallback found) {
     try {
       JobRecord record = JobRecord.read(change.value());
       JobRecord.Phase phase = record.active() ? world.finalPhase(id) : null;
       found.take(phase == null ? record : JobRecord.outcome(phase), change.version());
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       malformed.tell("record of job=" + id, e.getMessage());
       found.unsure("the record is unreadable");
     }
   }
 
-  private void withoutOwn(String id, Duration askedAt, Found found) {
+  private void withoutOwn(String id, Duration askedAt, LookupCallback found) {
     JobRecord.Phase phase = world.finalPhase(id);
     if (phase != null) {
       found.take(JobRecord.outcome(phase), 0);
@@ -158,10 +159,10 @@
    * one that an intake accepted may wait still; and one that the copy shows under its own key has been
    * put among those that are over since, and its outcome is there.
    */
-  private void amongEnded(String id, Found found) {
+  private void amongEnded(String id, LookupCallback found) {
     Job shown = world.job(id);
     read(
-        World.endedKey(id),
+        ClusterState.endedKey(id),
         found,
         change -> {
           if (change != null) {
--- a/src/main/java/io/tansystack/jobs/JobDuty.java
+++ b/src/main/java/io/tansystack/jobs/JobScheduler.java
@@ -1,13 +1,13 @@
 package io.tansystack.jobs;
 
-import io.tansystack.cluster.OwnLease;
-import io.tansystack.cluster.SlotDuty;
-import io.tansystack.cluster.Touched;
-import io.tansystack.cluster.World.Job;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
-import io.tansystack.records.RecordLimit;
-import io.tansystack.recovery.Coverage;
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.ClusterStateDelta;
+import io.tansystack.cluster.ControllerLease;
+import io.tansystack.cluster.SlotManager;
+import io.tansystack.http.EventLoop;
+import io.tansystack.records.RecordSizeLimit;
+import io.tansystack.recovery.FleetCoverage;
 import io.tansystack.schedule.Plan;
 import io.tansystack.schedule.Planner;
 import io.tansystack.schedule.Snapshot.MachineState;
@@ -15,7 +15,7 @@
 import io.tansystack.settings.PlatformSettings;
 import io.tansystack.store.StoreClient;
 import io.tansystack.wire.MachineType;
-import io.tansystack.workers.View;
+import io.tansystack.workers.MachineView;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.List;
@@ -30,8 +30,8 @@
  * One write for a job is under way at a time; until the copy of the records shows it, the job counts
  * as it was written.
  */
-public final class JobDuty {
-  private static final Duration MIN_GAP = RoundWriter.SOON;
+public final class JobScheduler {
+  private static final Duration MIN_GAP = PlanWriter.SOON;
 
   /** A controller that doesn't plan only looks for proofs that nobody takes in. */
   private static final Duration LOOK_GAP = Duration.ofMillis(500);
@@ -60,18 +60,18 @@
       new Snapshot(List.of(), List.of(), List.of(), Map.of());
   private static final Plan NO_PLAN = new Plan(Map.of(), Map.of(), List.of());
 
-  private final Loop loop;
-  private final World world;
-  private final OwnLease lease;
-  private final SlotDuty slots;
+  private final EventLoop loop;
+  private final ClusterState world;
+  private final ControllerLease lease;
+  private final SlotManager slots;
   private final Supplier<List<MachineState>> booting;
   private final Consumer<Runnable> measured;
-  private final Coverage coverage;
-  private final RecordLimit limit;
+  private final FleetCoverage coverage;
+  private final RecordSizeLimit limit;
   private final Planner.Bounds bounds;
-  private final JobBook book;
-  private final RoundWriter writer;
-  private final ForeignProofs foreign;
+  private final SchedulingState book;
+  private final PlanWriter writer;
+  private final FallbackProofWriter foreign;
 
   /** Whether the last pass planned. */
   private boolean planned;
@@ -79,23 +79,23 @@
   private Duration lastPass = Duration.ZERO;
   private Duration lastPassTook = Duration.ZERO;
   private Duration nextPass;
-  private Loop.Timer timer;
+  private EventLoop.Timer timer;
   private Snapshot snapshot = NOTHING;
   private Plan plan = NO_PLAN;
 
-  public JobDuty(
-      Loop loop,
+  public JobScheduler(
+      EventLoop loop,
       StoreClient store,
-      World world,
-      OwnLease lease,
-      SlotDuty slots,
+      ClusterState world,
+      ControllerLease lease,
+      SlotManager slots,
       PlatformSettings settings,
-      Function<String, View> views,
+      Function<String, MachineView> views,
       Function<String, MachineType> types,
       Supplier<List<MachineState>> booting,
       Consumer<Runnable> measured,
       InstantSource clock,
-      Coverage coverage,
+      FleetCoverage coverage,
       Predicate<String> acts) {
     this.loop = loop;
     this.world = world;
@@ -104,16 +104,16 @@
     this.booting = booting;
     this.measured = measured;
     this.coverage = coverage;
-    this.limit = new RecordLimit(settings.store().valueBytes());
+    this.limit = new RecordSizeLimit(settings.store().valueBytes());
     this.bounds =
         new Planner.Bounds(
             limit,
             settings.store().txnOps() * 2,
             Math.max(LEAST_JOBS, (int) (settings.store().writeRps() * PLANNED_AHEAD_S)));
-    this.book = new JobBook(loop, world, slots, settings, views, types, clock, coverage);
+    this.book = new SchedulingState(loop, world, slots, settings, views, types, clock, coverage);
     this.writer =
-        new RoundWriter(loop, store, world, slots, settings, views, book, limit, this::wake);
-    this.foreign = new ForeignProofs(loop, store, world, slots, book, acts, this::wake);
+        new PlanWriter(loop, store, world, slots, settings, views, book, limit, this::wake);
+    this.foreign = new FallbackProofWriter(loop, store, world, slots, book, acts, this::wake);
   }
 
   /** What the last pass could not place, over all jobs. */
@@ -190,7 +190,7 @@
    * Records changed. Only what these changes concern is looked at again by the next pass: to go
    * through all jobs and machines each time is what a large cluster can't afford.
    */
-  public void touched(Touched touched) {
+  public void touched(ClusterStateDelta touched) {
     book.touched(touched, planned);
     for (String id : touched.jobs()) {
       Job job = world.job(id);
@@ -201,7 +201,7 @@
   }
 
   /** A machine's owner has told something new of it; {@code old} is what was known before, or null. */
-  public void viewChanged(View old, View view) {
+  public void viewChanged(MachineView old, MachineView view) {
     if (book.viewChanged(old, view)) {
       wake();
     }
--- a/src/main/java/io/tansystack/jobs/JobStates.java
+++ b/src/main/java/io/tansystack/jobs/JobStateBuilder.java
@@ -1,33 +1,33 @@
 package io.tansystack.jobs;
 
 import io.tansystack.records.JobRecord;
-import io.tansystack.recovery.Coverage;
+import io.tansystack.recovery.FleetCoverage;
 import io.tansystack.schedule.Deadlines;
 import io.tansystack.schedule.Snapshot.JobState;
 import io.tansystack.settings.PlatformSettings.Objective;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** What a pass sees of a job: its record, how long it has waited, and whether it seems to be at fault. */
-final class JobStates {
+final class JobStateBuilder {
   /** Users expect the largest jobs to begin within four minutes. */
   private static final Duration DUE = Duration.ofSeconds(150);
 
   private static final long USUAL_PATIENCE_MS = 1000;
   private static final long LONGEST_PATIENCE_MS = 2000;
 
-  private final FailureMemory failures;
-  private final Coverage coverage;
+  private final FailureTracker failures;
+  private final FleetCoverage coverage;
   private final Deadlines deadlines;
 
   /** How long a job waits for others to end by themselves before it has them stopped, by class. */
   private final Map<String, Long> patienceMs = new HashMap<>();
 
-  JobStates(List<Objective> objectives, FailureMemory failures, Coverage coverage) {
+  JobStateBuilder(List<Objective> objectives, FailureTracker failures, FleetCoverage coverage) {
     this.failures = failures;
     this.coverage = coverage;
     this.deadlines = new Deadlines(objectives);
@@ -50,7 +50,7 @@
         ageMs >= patienceMs.getOrDefault(spec.jobClass(), USUAL_PATIENCE_MS) && coverage.covers(spec);
     // Of a service nothing ever completes, so failures alone say too little of it.
     boolean suspected =
-        failures.suspected(id) && record.done().isEmpty() && spec.shape() != Shape.SERVICE;
+        failures.suspected(id) && record.done().isEmpty() && spec.shape() != JobKind.SERVICE;
     return new JobState(
         id,
         record,
--- a/src/main/java/io/tansystack/jobs/Drafts.java
+++ b/src/main/java/io/tansystack/jobs/JobUpdateBuilder.java
@@ -1,18 +1,18 @@
 package io.tansystack.jobs;
 
-import io.tansystack.cluster.SlotDuty;
-import io.tansystack.cluster.World.Job;
-import io.tansystack.cluster.World;
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.SlotManager;
 import io.tansystack.records.JobRecord;
 import io.tansystack.records.Placement;
-import io.tansystack.records.RecordLimit;
+import io.tansystack.records.RecordSizeLimit;
 import io.tansystack.schedule.Plan;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.workers.Proofs;
-import io.tansystack.workers.View;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.workers.MachineView;
+import io.tansystack.workers.TerminationProofs;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -23,13 +23,13 @@
 import java.util.function.Function;
 
 /** What a plan and the proofs found so far lead to: the next records of this controller's jobs. */
-final class Drafts {
+final class JobUpdateBuilder {
   /**
    * What is to be written of a job.
    *
    * @param needed under which conditions, as of the plan: it may be written some transactions later
    */
-  record Draft(
+  record JobUpdate(
       Job job, JobRecord next, List<Condition> needed, boolean places, boolean ends) {
     JobSpec spec() {
       return job.record().spec();
@@ -39,19 +39,19 @@
   /** So many placements of replicas are written before one of anything else. */
   private static final int REPLICAS_IN_A_ROW = 3;
 
-  private final World world;
-  private final SlotDuty slots;
-  private final Function<String, View> views;
-  private final JobBook book;
-  private final RecordLimit limit;
+  private final ClusterState world;
+  private final SlotManager slots;
+  private final Function<String, MachineView> views;
+  private final SchedulingState book;
+  private final RecordSizeLimit limit;
   private final Plan plan;
 
-  Drafts(
-      World world,
-      SlotDuty slots,
-      Function<String, View> views,
-      JobBook book,
-      RecordLimit limit,
+  JobUpdateBuilder(
+      ClusterState world,
+      SlotManager slots,
+      Function<String, MachineView> views,
+      SchedulingState book,
+      RecordSizeLimit limit,
       Plan plan) {
     this.world = world;
     this.slots = slots;
@@ -62,15 +62,15 @@
   }
 
   /** Most urgent first. */
-  List<Draft> all() {
-    List<Draft> drafts = new ArrayList<>();
+  List<JobUpdate> all() {
+    List<JobUpdate> drafts = new ArrayList<>();
     for (String id : concerned()) {
       Job job = world.job(id);
       JobRecord known = book.effective().get(id);
       if (job == null || known == null || !slots.holds(job.slot()) || book.isPending(id)) {
         continue;
       }
-      Draft draft = draft(job, known);
+      JobUpdate draft = draft(job, known);
       if (!draft.next().equals(job.record())) {
         drafts.add(draft);
       }
@@ -83,19 +83,19 @@
    * write in a few is for what comes next in order, or where the write limit is used up for minutes by
    * many small services nothing else would begin, beside machines that stand idle for it.
    */
-  static List<Draft> inTurn(List<Draft> drafts) {
+  static List<JobUpdate> inTurn(List<JobUpdate> drafts) {
     drafts.sort(
-        Comparator.comparing((Draft draft) -> !draft.ends())
+        Comparator.comparing((JobUpdate draft) -> !draft.ends())
             .thenComparing(draft -> draft.spec().priority())
             .thenComparing(draft -> !draft.places())
             .thenComparingLong(draft -> draft.job().record().submittedMs()));
-    ArrayDeque<Draft> replicas = new ArrayDeque<>();
-    ArrayDeque<Draft> others = new ArrayDeque<>();
-    for (Draft draft : drafts) {
+    ArrayDeque<JobUpdate> replicas = new ArrayDeque<>();
+    ArrayDeque<JobUpdate> others = new ArrayDeque<>();
+    for (JobUpdate draft : drafts) {
       boolean replica = draft.places() && draft.spec().priority() == Priority.PRODUCTION;
       (replica ? replicas : others).add(draft);
     }
-    List<Draft> order = new ArrayList<>(drafts.size());
+    List<JobUpdate> order = new ArrayList<>(drafts.size());
     while (!replicas.isEmpty()) {
       for (int i = 0; i < REPLICAS_IN_A_ROW && !replicas.isEmpty(); i++) {
         order.add(replicas.poll());
@@ -117,7 +117,7 @@
     return ids;
   }
 
-  private Draft draft(Job job, JobRecord known) {
+  private JobUpdate draft(Job job, JobRecord known) {
     List<JobRecord.Assignment> round = plan.placements().getOrDefault(job.id(), List.of());
     boolean places = !round.isEmpty();
     boolean ends = known.phase() != job.record().phase();
@@ -130,14 +130,14 @@
       next = known;
       places = false;
     }
-    return new Draft(job, next, conditions(job, places), places, ends);
+    return new JobUpdate(job, next, conditions(job, places), places, ends);
   }
 
   private JobRecord stopped(String id, JobRecord record) {
     JobRecord next = record;
-    for (Plan.Stop stop : plan.stops().getOrDefault(id, List.of())) {
+    for (Plan.Eviction stop : plan.stops().getOrDefault(id, List.of())) {
       next =
-          next.spec().shape() == Shape.GANG
+          next.spec().shape() == JobKind.GANG
               ? next.allStopped()
               : next.stopped(stop.machine(), stop.tasks());
     }
@@ -151,10 +151,10 @@
     }
     JobRecord next = record;
     for (Placement p : record.placements()) {
-      View view = views.apply(p.machine());
+      MachineView view = views.apply(p.machine());
       if (!p.stop() && view != null && view.report().noticeS() != null) {
         next =
-            record.spec().shape() == Shape.GANG
+            record.spec().shape() == JobKind.GANG
                 ? next.allStopped()
                 : next.stopped(p.machine(), p.tasks());
       }
@@ -164,12 +164,12 @@
 
   private List<Condition> conditions(Job job, boolean places) {
     List<Condition> needed = new ArrayList<>();
-    needed.add(new Condition(World.slotKey(job.slot()), world.slot(job.slot()).version()));
+    needed.add(new Condition(ClusterState.slotKey(job.slot()), world.slot(job.slot()).version()));
     needed.addAll(job.unchanged());
     Set<String> machines = new HashSet<>();
     if (places) {
       for (JobRecord.Assignment part : plan.placements().get(job.id())) {
-        if (machines.add(World.machineKey(part.machine()))) {
+        if (machines.add(ClusterState.machineKey(part.machine()))) {
           needed.add(world.machine(part.machine()).condition());
         }
       }
@@ -180,7 +180,7 @@
 
   /** The conditions under which the proofs hold, but for those on keys named already. */
   static void addProofConditions(
-      Proofs proofs, Set<String> named, List<Condition> conditions) {
+      TerminationProofs proofs, Set<String> named, List<Condition> conditions) {
     if (proofs != null) {
       for (Condition condition : proofs.conditions()) {
         if (named.add(condition.key())) {
--- a/src/main/java/io/tansystack/jobs/MachineStates.java
+++ b/src/main/java/io/tansystack/jobs/MachineStateBuilder.java
@@ -1,31 +1,31 @@
 package io.tansystack.jobs;
 
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.World;
-import io.tansystack.cluster.World.Job;
 import io.tansystack.schedule.Snapshot.MachineState;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
 import io.tansystack.wire.TaskReport;
-import io.tansystack.workers.View;
+import io.tansystack.workers.MachineView;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.Function;
 
 /** What a pass sees of a machine, from its record and from what its owner tells of it. */
-final class MachineStates {
+final class MachineStateBuilder {
   private static final Duration PATIENCE = Duration.ofMillis(500);
 
-  private final World world;
-  private final Function<String, View> views;
+  private final ClusterState world;
+  private final Function<String, MachineView> views;
   private final Function<String, MachineType> types;
   private final long patienceMs;
 
   /** @param report how often workers report */
-  MachineStates(
-      World world,
-      Function<String, View> views,
+  MachineStateBuilder(
+      ClusterState world,
+      Function<String, MachineView> views,
       Function<String, MachineType> types,
       Duration report) {
     this.world = world;
@@ -45,7 +45,7 @@
   }
 
   private MachineState of(
-      MachineRecord record, MachineType type, View view, boolean faulty) {
+      MachineRecord record, MachineType type, MachineView view, boolean faulty) {
     Set<String> coming = new HashSet<>();
     double queued = 0;
     if (view != null) {
--- a/src/main/java/io/tansystack/jobs/RoundWriter.java
+++ b/src/main/java/io/tansystack/jobs/PlanWriter.java
@@ -1,21 +1,21 @@
 package io.tansystack.jobs;
 
-import io.tansystack.cluster.SlotDuty;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
-import io.tansystack.jobs.Drafts.Draft;
-import io.tansystack.records.RecordLimit;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.SlotManager;
+import io.tansystack.http.EventLoop;
+import io.tansystack.jobs.JobUpdateBuilder.JobUpdate;
+import io.tansystack.records.RecordSizeLimit;
 import io.tansystack.schedule.Plan;
 import io.tansystack.settings.PlatformSettings.Team;
 import io.tansystack.settings.PlatformSettings;
-import io.tansystack.store.StoreClient.Result;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Shape;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
-import io.tansystack.workers.View;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
+import io.tansystack.workers.MachineView;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -34,8 +34,8 @@
  * allows: several jobs a transaction, since placements of a team with a limit share one write of its
  * record, and each such transaction waits for the one before.
  */
-final class RoundWriter {
-  private static final Logger log = LoggerFactory.getLogger(RoundWriter.class);
+final class PlanWriter {
+  private static final Logger log = LoggerFactory.getLogger(PlanWriter.class);
 
   /** What is to be tried again soon is tried after this. */
   static final Duration SOON = Duration.ofMillis(40);
@@ -64,13 +64,13 @@
   /** Of the 64 KiB that a transaction may have; the rest is for its conditions. */
   private static final int MAX_BYTES = 56 << 10;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
-  private final SlotDuty slots;
-  private final Function<String, View> views;
-  private final JobBook book;
-  private final RecordLimit limit;
+  private final ClusterState world;
+  private final SlotManager slots;
+  private final Function<String, MachineView> views;
+  private final SchedulingState book;
+  private final RecordSizeLimit limit;
   private final int maxConditions;
   private final Runnable wake;
   private final int maxWrites;
@@ -88,7 +88,7 @@
   private boolean timed;
 
   /** What the plan has left to write, most urgent first. */
-  private List<Draft> left = List.of();
+  private List<JobUpdate> left = List.of();
 
   /** Revisions of this controller's last writes of teams' records; the copy shows them a little later. */
   private final Map<String, Long> teamWritten = new HashMap<>();
@@ -97,15 +97,15 @@
   private final Map<String, Long> teamPlanned = new HashMap<>();
 
   /** @param wake asks for another pass */
-  RoundWriter(
-      Loop loop,
+  PlanWriter(
+      EventLoop loop,
       StoreClient store,
-      World world,
-      SlotDuty slots,
+      ClusterState world,
+      SlotManager slots,
       PlatformSettings settings,
-      Function<String, View> views,
-      JobBook book,
-      RecordLimit limit,
+      Function<String, MachineView> views,
+      SchedulingState book,
+      RecordSizeLimit limit,
       Runnable wake) {
     this.loop = loop;
     this.store = store;
@@ -134,15 +134,15 @@
     lastWrite.keySet().retainAll(book.effective().keySet());
     alone.retainAll(book.effective().keySet());
     progressGap = progressGap();
-    left = new Drafts(world, slots, views, book, limit, plan).all();
+    left = new JobUpdateBuilder(world, slots, views, book, limit, plan).all();
     return writeLeft();
   }
 
   private Duration writeLeft() {
     Duration again = null;
-    List<Draft> ready = new ArrayList<>();
-    List<Draft> later = new ArrayList<>();
-    for (Draft draft : left) {
+    List<JobUpdate> ready = new ArrayList<>();
+    List<JobUpdate> later = new ArrayList<>();
+    for (JobUpdate draft : left) {
       if (world.job(draft.job().id()) != draft.job() || book.isPending(draft.job().id())) {
         continue; // It has changed since: the next plan knows how.
       }
@@ -156,7 +156,7 @@
       }
     }
     while (!ready.isEmpty()) {
-      Draft first = ready.get(0);
+      JobUpdate first = ready.get(0);
       if (limited(first) && teamsInFlight.contains(first.spec().team())) {
         later.add(ready.remove(0));
         continue;
@@ -192,9 +192,9 @@
   }
 
   /** After how long the draft may be written; negative for now. */
-  private Duration dueIn(Draft draft) {
+  private Duration dueIn(JobUpdate draft) {
     Duration last = lastWrite.get(draft.job().id());
-    if (draft.spec().shape() != Shape.ARRAY || draft.ends() || last == null) {
+    if (draft.spec().shape() != JobKind.ARRAY || draft.ends() || last == null) {
       return Duration.ofNanos(-1);
     }
     return last.plus(draft.places() ? placingGap(draft) : progressGap).minus(loop.now());
@@ -204,7 +204,7 @@
    * So many writes have to be free for the next transaction. Where the limit is used up and each went out
    * as soon as it could, every single placement would take a write of its team's record along.
    */
-  private int worthwhile(List<Draft> ready) {
+  private int worthwhile(List<JobUpdate> ready) {
     if (!limited(ready.get(0))) {
       return 1;
     }
@@ -212,7 +212,7 @@
   }
 
   /** What adds little to a running array waits for more: room comes free for it task by task. */
-  private Duration placingGap(Draft draft) {
+  private Duration placingGap(JobUpdate draft) {
     int running = draft.job().record().placedCount();
     int more = draft.next().placedCount() - running;
     return more * LITTLE < running ? arrayGap.multipliedBy(LITTLE_WAITS) : arrayGap;
@@ -225,7 +225,11 @@
   private Duration progressGap() {
     long arrays =
         book.effective().values().stream()
-            .filter(r -> r.active() && r.spec().shape() == Shape.ARRAY && !r.placements().isEmpty())
+            .filter(
+                r ->
+                    r.active()
+                        && r.spec().shape() == JobKind.ARRAY
+                        && !r.placements().isEmpty())
             .count();
     Duration gap = Duration.ofMillis((long) (arrays * 1000 / (writesPerSecond * PROGRESS_SHARE)));
     Duration shortest = arrayGap.multipliedBy(2);
@@ -234,7 +238,7 @@
   }
 
   /** Whether it places something for a team that has a limit. */
-  private boolean limited(Draft draft) {
+  private boolean limited(JobUpdate draft) {
     JobSpec spec = draft.spec();
     Team team = book.team(spec.team());
     return draft.places()
@@ -249,7 +253,7 @@
    * What this controller has written since the plan was part of it.
    */
   private final class Round {
-    private final List<Draft> parts = new ArrayList<>();
+    private final List<JobUpdate> parts = new ArrayList<>();
     private final Set<String> named = new HashSet<>();
     private final List<Condition> conditions = new ArrayList<>();
     private final Set<String> teams = new HashSet<>();
@@ -260,8 +264,8 @@
      * Takes the most urgent draft, then those of its team, which cost one write each, and of the others as
      * many as there is room for. One whose last transaction failed goes alone.
      */
-    void fill(List<Draft> ready) {
-      Draft first = ready.remove(0);
+    void fill(List<JobUpdate> ready) {
+      JobUpdate first = ready.remove(0);
       add(first);
       if (alone.contains(first.job().id())) {
         return;
@@ -271,9 +275,9 @@
       takeFrom(ready, draft -> !limited(draft) || !teamsInFlight.contains(draft.spec().team()));
     }
 
-    private void takeFrom(List<Draft> ready, Predicate<Draft> which) {
-      for (Iterator<Draft> it = ready.iterator(); it.hasNext(); ) {
-        Draft draft = it.next();
+    private void takeFrom(List<JobUpdate> ready, Predicate<JobUpdate> which) {
+      for (Iterator<JobUpdate> it = ready.iterator(); it.hasNext(); ) {
+        JobUpdate draft = it.next();
         if (which.test(draft) && !alone.contains(draft.job().id()) && takes(draft)) {
           add(draft);
           it.remove();
@@ -282,7 +286,7 @@
     }
 
     /** Whether there is room for one more. */
-    boolean takes(Draft draft) {
+    boolean takes(JobUpdate draft) {
       int writes = parts.size() + teams.size() + 1;
       int team = limited(draft) && !teams.contains(draft.spec().team()) ? 1 : 0;
       long more = team + draft.needed().stream().filter(k -> !named.contains(k.key())).count();
@@ -291,7 +295,7 @@
           && bytes + limit.longest(draft.next()) <= MAX_BYTES;
     }
 
-    void add(Draft draft) {
+    void add(JobUpdate draft) {
       parts.add(draft);
       bytes += limit.longest(draft.next());
       for (Condition condition : draft.needed()) {
@@ -301,45 +305,45 @@
       }
       String team = draft.spec().team();
       if (limited(draft) && teams.add(team)) {
-        conditions.add(new Condition(World.teamKey(team), teamPlanned.get(team)));
+        conditions.add(new Condition(ClusterState.teamKey(team), teamPlanned.get(team)));
       }
     }
 
     void send() {
       List<Write> writes = new ArrayList<>();
-      for (Draft draft : parts) {
+      for (JobUpdate draft : parts) {
         String id = draft.job().id();
-        writes.add(new Write(World.jobKey(id), draft.next().write(), 0));
+        writes.add(new Write(ClusterState.jobKey(id), draft.next().write(), 0));
         lastWrite.put(id, loop.now());
         book.writing(draft.job(), draft.next());
         report(draft);
       }
       for (String team : teams) {
         String last = parts.get(parts.size() - 1).job().id();
-        writes.add(new Write(World.teamKey(team), Cbor.map().put("job", last), 0));
+        writes.add(new Write(ClusterState.teamKey(team), Cbor.map().put("job", last), 0));
       }
       teamsInFlight.addAll(teams);
       store.reserve(writes.size());
       store.commitReserved(conditions, writes, this::sent);
     }
 
-    private void sent(Result result, long revision) {
+    private void sent(CommitResult result, long revision) {
       teamsInFlight.removeAll(teams);
-      if (result != Result.DONE) {
-        if (result == Result.CONFLICT || result == Result.MALFORMED) {
+      if (result != CommitResult.DONE) {
+        if (result == CommitResult.CONFLICT || result == CommitResult.MALFORMED) {
           parts.forEach(draft -> alone.add(draft.job().id()));
         }
         log.debug("write of {} jobs result={}", parts.size(), result);
         // After silence the write may still come; a pause lets the copy show it first.
         loop.after(
-            result == Result.UNKNOWN ? Duration.ofMillis(500) : Duration.ofMillis(30),
+            result == CommitResult.UNKNOWN ? Duration.ofMillis(500) : Duration.ofMillis(30),
             () -> {
               parts.forEach(draft -> book.dropped(draft.job().id()));
               wake.run();
             });
         return;
       }
-      for (Draft draft : parts) {
+      for (JobUpdate draft : parts) {
         alone.remove(draft.job().id());
         book.written(draft.job().id(), revision);
         if (draft.ends()) {
@@ -355,10 +359,10 @@
     }
   }
 
-  private void report(Draft draft) {
+  private void report(JobUpdate draft) {
     String id = draft.job().id();
-    DropLog.log(id, book.proofs(id), world.revision());
-    for (Plan.Stop stop : plan.stops().getOrDefault(id, List.of())) {
+    DroppedPlacementLog.log(id, book.proofs(id), world.revision());
+    for (Plan.Eviction stop : plan.stops().getOrDefault(id, List.of())) {
       if (stop.isMove()) {
         book.movedOff(id, stop.machine());
       }
--- a/src/main/java/io/tansystack/jobs/RecalledMachines.java
+++ b/src/main/java/io/tansystack/jobs/ReclaimNotices.java
@@ -1,21 +1,21 @@
 package io.tansystack.jobs;
 
-import io.tansystack.cluster.PlacementIndex.Placed;
-import io.tansystack.cluster.World;
-import io.tansystack.workers.View;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.PlacementIndex.IndexedPlacement;
+import io.tansystack.workers.MachineView;
 import java.util.HashSet;
 import java.util.Set;
 
 /** The machines that the cloud is about to take away, as their workers report. */
-final class RecalledMachines {
-  private final World world;
+final class ReclaimNotices {
+  private final ClusterState world;
   private final Set<String> machines = new HashSet<>();
 
-  RecalledMachines(World world) {
+  ReclaimNotices(ClusterState world) {
     this.world = world;
   }
 
-  void observe(View view) {
+  void observe(MachineView view) {
     if (view.report().noticeS() != null) {
       machines.add(view.report().machine());
     } else {
@@ -32,7 +32,7 @@
   Set<String> jobs() {
     Set<String> jobs = new HashSet<>();
     for (String machine : machines) {
-      for (Placed placed : world.placedOn(machine)) {
+      for (IndexedPlacement placed : world.placedOn(machine)) {
         jobs.add(placed.id());
       }
     }
--- a/src/main/java/io/tansystack/jobs/JobBook.java
+++ b/src/main/java/io/tansystack/jobs/SchedulingState.java
@@ -1,23 +1,23 @@
 package io.tansystack.jobs;
 
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.ClusterStateDelta;
 import io.tansystack.cluster.MachineRecord;
 import io.tansystack.cluster.PlacementIndex;
-import io.tansystack.cluster.SlotDuty;
-import io.tansystack.cluster.Touched;
-import io.tansystack.cluster.World.Job;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.SlotManager;
+import io.tansystack.http.EventLoop;
 import io.tansystack.records.JobRecord;
-import io.tansystack.recovery.Coverage;
-import io.tansystack.schedule.ClusterRooms;
+import io.tansystack.recovery.FleetCoverage;
+import io.tansystack.schedule.ClusterCapacity;
 import io.tansystack.schedule.Snapshot.JobState;
 import io.tansystack.schedule.Snapshot.MachineState;
 import io.tansystack.schedule.Snapshot;
 import io.tansystack.settings.PlatformSettings.Team;
 import io.tansystack.settings.PlatformSettings;
 import io.tansystack.wire.MachineType;
-import io.tansystack.workers.Proofs;
-import io.tansystack.workers.View;
+import io.tansystack.workers.MachineView;
+import io.tansystack.workers.TerminationProofs;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.ArrayList;
@@ -36,22 +36,22 @@
  * All jobs as they are planned from: each record with all proofs taken in and own writes that the copy
  * does not show yet. Kept up to date job by job and machine by machine, as changes name them.
  */
-final class JobBook {
-  private static final Logger log = LoggerFactory.getLogger(JobBook.class);
+final class SchedulingState {
+  private static final Logger log = LoggerFactory.getLogger(SchedulingState.class);
 
   private record Pending(JobRecord record, long baseVersion, long revision) {}
 
-  private final Loop loop;
-  private final World world;
-  private final SlotDuty slots;
-  private final Function<String, View> views;
+  private final EventLoop loop;
+  private final ClusterState world;
+  private final SlotManager slots;
+  private final Function<String, MachineView> views;
   private final InstantSource clock;
-  private final Coverage coverage;
+  private final FleetCoverage coverage;
 
-  private final JobStates jobStates;
+  private final JobStateBuilder jobStates;
   private final Map<String, Team> teams = new HashMap<>();
   private final Map<String, Pending> pending = new HashMap<>();
-  private final FailureMemory failures = new FailureMemory();
+  private final FailureTracker failures = new FailureTracker();
   private final Map<String, JobRecord> effective = new HashMap<>();
   private final List<String> order = new ArrayList<>();
 
@@ -59,15 +59,15 @@
   private final Set<String> arrived = new HashSet<>();
 
   private boolean orderChanged;
-  private final Map<String, Proofs> proofs = new HashMap<>();
-  private final ClusterRooms rooms = new ClusterRooms();
-  private final MachineStates machineStates;
+  private final Map<String, TerminationProofs> proofs = new HashMap<>();
+  private final ClusterCapacity rooms = new ClusterCapacity();
+  private final MachineStateBuilder machineStates;
 
   /** Machines whose rooms are to be derived again, by the next pass. */
   private final Set<String> dirtyMachines = new HashSet<>();
 
   private Set<String> faultyBefore = Set.of();
-  private final RecalledMachines recalled;
+  private final ReclaimNotices recalled;
   private boolean typesMissing;
   private boolean plans;
 
@@ -77,25 +77,25 @@
   private final Set<String> dirtyJobs = new HashSet<>();
   private final int maxProofConditions;
 
-  JobBook(
-      Loop loop,
-      World world,
-      SlotDuty slots,
+  SchedulingState(
+      EventLoop loop,
+      ClusterState world,
+      SlotManager slots,
       PlatformSettings settings,
-      Function<String, View> views,
+      Function<String, MachineView> views,
       Function<String, MachineType> types,
       InstantSource clock,
-      Coverage coverage) {
+      FleetCoverage coverage) {
     this.loop = loop;
     this.world = world;
     this.slots = slots;
     this.views = views;
     this.clock = clock;
     this.coverage = coverage;
-    this.recalled = new RecalledMachines(world);
+    this.recalled = new ReclaimNotices(world);
     this.machineStates =
-        new MachineStates(world, views, types, settings.workers().report());
-    this.jobStates = new JobStates(settings.objectives(), failures, coverage);
+        new MachineStateBuilder(world, views, types, settings.workers().report());
+    this.jobStates = new JobStateBuilder(settings.objectives(), failures, coverage);
     settings.teams().forEach(team -> teams.put(team.name(), team));
     // Next to the machines chosen in a round, the slot, the record, that it is not over, and the team.
     this.maxProofConditions = Math.max(1, settings.store().txnOps() * 2 - 4);
@@ -105,7 +105,7 @@
    * Records changed. Only what these changes concern is looked at again by the next pass: to go
    * through all jobs and machines each time is what a large cluster can't afford.
    */
-  void touched(Touched touched, boolean planned) {
+  void touched(ClusterStateDelta touched, boolean planned) {
     for (String id : touched.jobs()) {
       Job job = world.job(id);
       if (planned || job == null || proofs.containsKey(id)) {
@@ -124,7 +124,7 @@
    * A machine's owner has told something new of it; {@code old} is what was known before, or null.
    * Whether that is a reason for a pass.
    */
-  boolean viewChanged(View old, View view) {
+  boolean viewChanged(MachineView old, MachineView view) {
     String machine = view.report().machine();
     recalled.observe(view);
     if (old == null
@@ -144,7 +144,7 @@
     if (world.machine(name) == null) {
       recalled.forget(name);
     }
-    for (PlacementIndex.Placed placed : world.placedOn(name)) {
+    for (PlacementIndex.IndexedPlacement placed : world.placedOn(name)) {
       dirtyJobs.add(placed.job().id());
     }
   }
@@ -185,7 +185,7 @@
   }
 
   /** The proofs that a job's effective record has taken in; null for none. */
-  Proofs proofs(String id) {
+  TerminationProofs proofs(String id) {
     return proofs.get(id);
   }
 
@@ -259,8 +259,8 @@
       return;
     }
     JobRecord record = current(job);
-    Proofs found =
-        Proofs.collect(
+    TerminationProofs found =
+        TerminationProofs.collect(
             id, record, views, world::machine, world::token, maxProofConditions);
     if (found.over().isEmpty()) {
       proofs.remove(id);
@@ -307,7 +307,7 @@
   }
 
   /** The rooms that hold the records which the last snapshot shows. */
-  ClusterRooms rooms() {
+  ClusterCapacity rooms() {
     return rooms;
   }
 
@@ -366,15 +366,15 @@
     return record != null && record.spec() != null;
   }
 
-  private void remember(String job, Proofs found) {
+  private void remember(String job, TerminationProofs found) {
     Duration now = loop.now();
-    for (JobRecord.Over over : found.over()) {
+    for (JobRecord.EndedAttempt over : found.over()) {
       if (over.done()) {
         failures.succeeded(job, over.machine());
       }
     }
     boolean before = failures.suspected(job);
-    for (Proofs.Failure f : found.failures()) {
+    for (TerminationProofs.Failure f : found.failures()) {
       if (failures.failed(job, f.task(), f.attempt(), f.machine(), f.cause(), now)) {
         log.debug(
             "failed task={}/{} machine={} cause={}", job, f.task(), f.machine(), f.cause());
--- a/src/main/java/io/tansystack/jobs/Submissions.java
+++ b/src/main/java/io/tansystack/jobs/SubmissionHandler.java
@@ -1,21 +1,21 @@
 package io.tansystack.jobs;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
-import io.tansystack.jobs.Lookup.Found;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.http.EventLoop;
+import io.tansystack.jobs.JobLookup.LookupCallback;
 import io.tansystack.records.JobRecord;
-import io.tansystack.records.RecordLimit;
+import io.tansystack.records.RecordSizeLimit;
 import io.tansystack.settings.PlatformSettings.Team;
 import io.tansystack.settings.PlatformSettings;
-import io.tansystack.wire.Answers.JobState;
-import io.tansystack.wire.Answers;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
-import io.tansystack.wire.Read;
-import io.tansystack.wire.Shape;
+import io.tansystack.wire.Responses.JobStatus;
+import io.tansystack.wire.Responses;
 import java.time.InstantSource;
 import java.util.Collection;
 import java.util.HashSet;
@@ -25,26 +25,26 @@
 import org.slf4j.LoggerFactory;
 
 /** Accepts jobs, or says why not: what is malformed, known already, or can never run. */
-final class Submissions {
-  private static final Logger log = LoggerFactory.getLogger(Submissions.class);
+final class SubmissionHandler {
+  private static final Logger log = LoggerFactory.getLogger(SubmissionHandler.class);
 
-  private final Loop loop;
-  private final World world;
+  private final EventLoop loop;
+  private final ClusterState world;
   private final PlatformSettings settings;
   private final InstantSource clock;
   private final Supplier<Collection<MachineType>> types;
-  private final Lookup lookup;
-  private final Intake intake;
-  private final RecordLimit limit;
+  private final JobLookup lookup;
+  private final SubmissionWriter intake;
+  private final RecordSizeLimit limit;
 
-  Submissions(
-      Loop loop,
-      World world,
+  SubmissionHandler(
+      EventLoop loop,
+      ClusterState world,
       PlatformSettings settings,
       InstantSource clock,
       Supplier<Collection<MachineType>> types,
-      Lookup lookup,
-      Intake intake) {
+      JobLookup lookup,
+      SubmissionWriter intake) {
     this.loop = loop;
     this.world = world;
     this.settings = settings;
@@ -52,32 +52,32 @@
     this.types = types;
     this.lookup = lookup;
     this.intake = intake;
-    this.limit = new RecordLimit(settings.store().valueBytes());
+    this.limit = new RecordSizeLimit(settings.store().valueBytes());
   }
 
   /** {@code POST /v1/jobs}. */
-  void submit(byte[] body, Once once) {
+  void submit(byte[] body, TrackedReply once) {
     ObjectNode map;
     String id;
     try {
       map = Cbor.decodeMap(body);
-      id = Read.text(map, "Uid");
-    } catch (BadInput e) {
-      once.send(400, Answers.error(e.getMessage()));
+      id = FieldReader.text(map, "Uid");
+    } catch (InvalidMessageException e) {
+      once.send(400, Responses.error(e.getMessage()));
       return;
     }
     if (!JobSpec.validId(id)) {
-      once.send(400, Answers.error("Uid: not of the form wk-000412"));
+      once.send(400, Responses.error("Uid: not of the form wk-000412"));
       return;
     }
     if (world.finalPhase(id) != null) {
-      once.send(200, Answers.job(id, world.finalPhase(id).state()));
+      once.send(200, Responses.job(id, world.finalPhase(id).state()));
       return;
     }
     JobSpec spec;
     try {
       spec = JobSpec.read(map);
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       answerKnown(id, 400, e.getMessage(), once);
       return;
     }
@@ -91,7 +91,7 @@
       return;
     }
     String impossible = impossible(spec, settings.team(spec.team()), known);
-    if (impossible == null && spec.shape() != Shape.ARRAY) {
+    if (impossible == null && spec.shape() != JobKind.ARRAY) {
       impossible = unholdable(spec, known);
     }
     if (impossible != null) {
@@ -114,7 +114,7 @@
                   spec.shape(),
                   spec.priority(),
                   spec.tasks());
-              once.send(201, Answers.job(id, JobState.PENDING));
+              once.send(201, Responses.job(id, JobStatus.PENDING));
             }
             case CONFLICT -> answerKnown(id, 0, null, once);
             default -> once.unsure("the state service did not confirm");
@@ -140,10 +140,10 @@
       return "a task fits no allowed machine type";
     }
     int atOnce = spec.sameZone() ? 1 : zones.size();
-    if (spec.shape() == Shape.GANG && (long) spec.zoneCap() * atOnce < spec.tasks()) {
+    if (spec.shape() == JobKind.GANG && (long) spec.zoneCap() * atOnce < spec.tasks()) {
       return "Scatter: its tasks run together or not at all, and may not all stand in one zone";
     }
-    int together = spec.shape() == Shape.ARRAY ? 1 : spec.tasks();
+    int together = spec.shape() == JobKind.ARRAY ? 1 : spec.tasks();
     if ((team.cpusMax() > 0 && spec.cpus() * together > team.cpusMax() + 1e-6)
         || (team.gpusMax() > 0 && spec.gpus() * together > team.gpusMax() + 1e-6)) {
       return "needs more than the team's limit";
@@ -159,7 +159,7 @@
     }
     int machines = (spec.tasks() + most - 1) / most;
     int held = limit.placedAtOnce(spec);
-    if (spec.shape() == Shape.GANG) {
+    if (spec.shape() == JobKind.GANG) {
       held = Math.min(held, settings.store().txnOps() * 2);
     }
     return machines <= held
@@ -168,20 +168,20 @@
   }
 
   /** A job that was accepted once is answered for ever, whatever the body of a repetition holds. */
-  private void answerKnown(String id, int statusIfUnknown, String why, Once once) {
+  private void answerKnown(String id, int statusIfUnknown, String why, TrackedReply once) {
     lookup.find(
         id,
         loop.now(),
-        new Found() {
+        new LookupCallback() {
           @Override
           public void take(JobRecord record, long version) {
-            once.send(200, Answers.job(id, record.state()));
+            once.send(200, Responses.job(id, record.state()));
           }
 
           @Override
           public void absent() {
             if (statusIfUnknown != 0) {
-              once.send(statusIfUnknown, Answers.error(why));
+              once.send(statusIfUnknown, Responses.error(why));
             } else {
               once.unsure("try again");
             }
--- a/src/main/java/io/tansystack/jobs/Intake.java
+++ b/src/main/java/io/tansystack/jobs/SubmissionWriter.java
@@ -1,16 +1,16 @@
 package io.tansystack.jobs;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.http.EventLoop;
 import io.tansystack.records.JobRecord;
 import io.tansystack.settings.PlatformSettings;
 import io.tansystack.store.RateBudget;
-import io.tansystack.store.StoreClient.Result;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
  * part of the write limit allows are gathered, and one record accepts several of them: where a whole
  * day's work is submitted at once, a write for each would keep everything else waiting.
  */
-final class Intake {
+final class SubmissionWriter {
   private static final Duration WAIT = Duration.ofMillis(2500);
 
   /** What comes within this of a first one shares its record. */
@@ -39,9 +39,9 @@
   /** Of a value, the rest for the names around its entries. */
   private static final double FILLED = 0.9;
 
-  private record Waiting(JobRecord record, int size, Consumer<Result> then) {}
+  private record Waiting(JobRecord record, int size, Consumer<CommitResult> then) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
   private final String boot;
   private final RateBudget pace;
@@ -52,11 +52,11 @@
   private long counter;
 
   /** @param boot this start of the process: names of intakes begin with it */
-  Intake(Loop loop, StoreClient store, PlatformSettings settings, String boot) {
+  SubmissionWriter(EventLoop loop, StoreClient store, PlatformSettings settings, String boot) {
     this.loop = loop;
     this.store = store;
     this.boot = boot;
-    PlatformSettings.State limits = settings.store();
+    PlatformSettings.StateServiceLimits limits = settings.store();
     double perSecond =
         Math.max(limits.writeRps() * SHARE / settings.size(), 1000.0 / LONGEST.toMillis());
     this.pace = new RateBudget(perSecond, Math.max(2, perSecond), loop.now());
@@ -66,7 +66,7 @@
   }
 
   /** Accepts a job; {@code CONFLICT} if it is known already. The caller bounds how many wait. */
-  void accept(JobRecord record, Consumer<Result> then) {
+  void accept(JobRecord record, Consumer<CommitResult> then) {
     gathered.add(new Waiting(record, Cbor.jsonSize(record.write()) + 1, then));
     flushIn(GATHER);
   }
@@ -105,10 +105,10 @@
   }
 
   private void alone(Waiting one) {
-    String key = World.jobKey(one.record.spec().id());
+    String key = ClusterState.jobKey(one.record.spec().id());
     ObjectNode value = one.record.write();
     store.commitUrgent(
-        World.unchanged(one.record.spec().id(), 0),
+        ClusterState.unchanged(one.record.spec().id(), 0),
         List.of(new Write(key, value, 0)),
         WAIT,
         (result, revision) -> one.then.accept(result));
@@ -119,20 +119,20 @@
    * itself. One that stands in another's intake doesn't: that one is the earlier and counts.
    */
   private void together(List<Waiting> batch) {
-    String key = World.intakeKey(boot + "-" + counter++);
+    String key = ClusterState.intakeKey(boot + "-" + counter++);
     List<Condition> conditions = new ArrayList<>();
     List<JobRecord> records = new ArrayList<>();
     conditions.add(new Condition(key, 0));
     for (Waiting one : batch) {
-      conditions.addAll(World.unchanged(one.record.spec().id(), 0));
+      conditions.addAll(ClusterState.unchanged(one.record.spec().id(), 0));
       records.add(one.record);
     }
     store.commitUrgent(
         conditions,
-        List.of(new Write(key, World.intake(records), 0)),
+        List.of(new Write(key, ClusterState.intake(records), 0)),
         WAIT,
         (result, revision) -> {
-          if (result == Result.CONFLICT) {
+          if (result == CommitResult.CONFLICT) {
             batch.forEach(this::alone);
           } else {
             batch.forEach(one -> one.then.accept(result));
--- a/src/main/java/io/tansystack/jobs/Once.java
+++ b/src/main/java/io/tansystack/jobs/TrackedReply.java
@@ -2,15 +2,15 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.tansystack.http.HttpServer.Reply;
-import io.tansystack.wire.Answers;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.Responses;
 
 /** A user's request that is being served: its answer also counts it as over. */
-final class Once {
+final class TrackedReply {
   private final Reply reply;
   private final Runnable over;
 
-  Once(Reply reply, Runnable over) {
+  TrackedReply(Reply reply, Runnable over) {
     this.reply = reply;
     this.over = over;
   }
@@ -21,6 +21,6 @@
   }
 
   void unsure(String why) {
-    send(503, Answers.error(why));
+    send(503, Responses.error(why));
   }
 }
