--- a/src/main/java/io/tansystack/jobs/UserApi.java
+++ b/src/main/java/io/tansystack/jobs/UserApi.java
@@ -1,19 +1,19 @@
 package io.tansystack.jobs;
 
-import io.tansystack.cluster.World.Job;
-import io.tansystack.cluster.World;
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.http.EventLoop;
 import io.tansystack.http.HttpServer.Reply;
-import io.tansystack.http.Loop;
-import io.tansystack.jobs.Lookup.Found;
+import io.tansystack.jobs.JobLookup.LookupCallback;
 import io.tansystack.records.JobRecord;
 import io.tansystack.settings.PlatformSettings;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.Answers.JobState;
-import io.tansystack.wire.Answers;
 import io.tansystack.wire.Cbor;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.Responses.JobStatus;
+import io.tansystack.wire.Responses;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.Collection;
@@ -34,20 +34,20 @@
   private static final int CANCEL_TRIES = 6;
   private static final Duration CANCEL_WAIT = Duration.ofMillis(2500);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
+  private final ClusterState world;
   private final InstantSource clock;
   private final BooleanSupplier storeAnswers;
-  private final Lookup lookup;
-  private final Submissions submissions;
+  private final JobLookup lookup;
+  private final SubmissionHandler submissions;
   private int open;
 
   /** @param boot this start of the process */
   public UserApi(
-      Loop loop,
+      EventLoop loop,
       StoreClient store,
-      World world,
+      ClusterState world,
       PlatformSettings settings,
       String boot,
       InstantSource clock,
@@ -59,28 +59,34 @@
     this.world = world;
     this.clock = clock;
     this.storeAnswers = storeAnswers;
-    this.lookup = new Lookup(loop, store, world, confirm);
+    this.lookup = new JobLookup(loop, store, world, confirm);
     this.submissions =
-        new Submissions(
-            loop, world, settings, clock, types, lookup, new Intake(loop, store, settings, boot));
+        new SubmissionHandler(
+            loop,
+            world,
+            settings,
+            clock,
+            types,
+            lookup,
+            new SubmissionWriter(loop, store, settings, boot));
   }
 
   /** What can't be served now is answered at once, with when to come back, rather than left to time out. */
   private boolean shed(Reply reply) {
     if (!storeAnswers.getAsBoolean()) {
-      reply.send(503, Cbor.encode(Answers.error("the state service does not answer")), 1);
+      reply.send(503, Cbor.encode(Responses.error("the state service does not answer")), 1);
       return true;
     }
     if (open < MAX_OPEN) {
       return false;
     }
-    reply.send(503, Cbor.encode(Answers.error("overloaded")), 2);
+    reply.send(503, Cbor.encode(Responses.error("overloaded")), 2);
     return true;
   }
 
-  private Once opened(Reply reply) {
+  private TrackedReply opened(Reply reply) {
     open++;
-    return new Once(reply, () -> open--);
+    return new TrackedReply(reply, () -> open--);
   }
 
   /** {@code POST /v1/jobs}. */
@@ -102,19 +108,19 @@
    */
   public void poll(String id, Reply reply) {
     if (!JobSpec.validId(id)) {
-      reply.send(404, Cbor.encode(Answers.error("no such job")));
+      reply.send(404, Cbor.encode(Responses.error("no such job")));
       return;
     }
     if (answeredFinal(id, reply) || shed(reply)) {
       return;
     }
-    Once once = opened(reply);
+    TrackedReply once = opened(reply);
     Duration at = loop.now();
     lookup.whenSynced(
         synced -> {
           Job job = world.job(id);
           if (world.finalPhase(id) != null) {
-            once.send(200, Answers.progress(id, world.finalPhase(id).state(), 0, 0));
+            once.send(200, Responses.progress(id, world.finalPhase(id).state(), 0, 0));
           } else if (job != null && synced) {
             progress(id, job.record(), once);
           } else {
@@ -135,22 +141,22 @@
   private boolean answeredFinal(String id, Reply reply) {
     JobRecord.Phase phase = world.finalPhase(id);
     if (phase != null) {
-      reply.send(200, Cbor.encode(Answers.progress(id, phase.state(), 0, 0)));
+      reply.send(200, Cbor.encode(Responses.progress(id, phase.state(), 0, 0)));
     }
     return phase != null;
   }
 
   /** Answers a user where there is no such job, or nobody knows. */
-  private abstract static class ForUser implements Found {
-    private final Once once;
+  private abstract static class ForUser implements LookupCallback {
+    private final TrackedReply once;
 
-    ForUser(Once once) {
+    ForUser(TrackedReply once) {
       this.once = once;
     }
 
     @Override
     public void absent() {
-      once.send(404, Answers.error("no such job"));
+      once.send(404, Responses.error("no such job"));
     }
 
     @Override
@@ -159,10 +165,10 @@
     }
   }
 
-  private static void progress(String id, JobRecord record, Once once) {
+  private static void progress(String id, JobRecord record, TrackedReply once) {
     once.send(
         200,
-        Answers.progress(
+        Responses.progress(
             id,
             record.state(),
             record.done().size(),
@@ -172,11 +178,11 @@
   /** {@code POST /v1/jobs/ID/abort}. */
   public void abort(String id, Reply reply) {
     if (!JobSpec.validId(id)) {
-      reply.send(404, Cbor.encode(Answers.error("no such job")));
+      reply.send(404, Cbor.encode(Responses.error("no such job")));
       return;
     }
     if (world.finalPhase(id) != null) {
-      reply.send(200, Cbor.encode(Answers.job(id, world.finalPhase(id).state())));
+      reply.send(200, Cbor.encode(Responses.job(id, world.finalPhase(id).state())));
       return;
     }
     if (!shed(reply)) {
@@ -185,7 +191,7 @@
   }
 
   /** The slot's holder writes the record too; the one who loses reads it again. */
-  private void tryCancel(String id, int tries, Once once) {
+  private void tryCancel(String id, int tries, TrackedReply once) {
     if (tries == 0) {
       once.unsure("the record keeps changing");
       return;
@@ -199,23 +205,23 @@
             if (record.active()) {
               cancel(id, record, version, tries, once);
             } else {
-              once.send(200, Answers.job(id, record.state()));
+              once.send(200, Responses.job(id, record.state()));
             }
           }
         });
   }
 
-  private void cancel(String id, JobRecord record, long version, int tries, Once once) {
-    String key = World.jobKey(id);
+  private void cancel(String id, JobRecord record, long version, int tries, TrackedReply once) {
+    String key = ClusterState.jobKey(id);
     store.commitUrgent(
-        World.unchanged(id, version),
+        ClusterState.unchanged(id, version),
         List.of(new Write(key, record.cancelled(clock.millis()).write(), 0)),
         CANCEL_WAIT,
         (result, revision) -> {
           switch (result) {
             case DONE -> {
               log.info("cancelled job={} placed={}", id, record.placedCount());
-              once.send(200, Answers.job(id, JobState.CANCELLED));
+              once.send(200, Responses.job(id, JobStatus.CANCELLED));
             }
             case CONFLICT -> tryCancel(id, tries - 1, once);
             default -> once.unsure("the state service did not confirm");
--- a/src/main/java/io/tansystack/peers/PeerLink.java
+++ b/src/main/java/io/tansystack/peers/PeerLink.java
@@ -5,15 +5,15 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.http.HttpCaller;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
 import io.tansystack.http.HttpServer;
-import io.tansystack.http.Loop;
 import io.tansystack.settings.PlatformSettings.Peer;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Malformed;
-import io.tansystack.wire.Read;
-import io.tansystack.workers.View;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.ThrottledLogger;
+import io.tansystack.workers.MachineView;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.HashMap;
@@ -48,15 +48,16 @@
   /** A body may hold this much: a batch of views of full machines. */
   public static final int MAX_BODY = 1 << 20;
 
-  private final Malformed malformed = new Malformed(LoggerFactory.getLogger(PeerLink.class));
+  private final ThrottledLogger malformed =
+      new ThrottledLogger(LoggerFactory.getLogger(PeerLink.class));
   private final ObjectMapper msgpack = new ObjectMapper(new MessagePackFactory());
-  private final HttpCaller caller;
-  private final Loop loop;
+  private final HttpClient caller;
+  private final EventLoop loop;
   private final String label;
   private final BooleanSupplier valid;
   private final BooleanSupplier deaf;
-  private final Consumer<View> received;
-  private final Supplier<List<View>> told;
+  private final Consumer<MachineView> received;
+  private final Supplier<List<MachineView>> told;
   private final String boot;
   private final Duration delay;
   private final Supplier<ObjectNode> fleetNews;
@@ -67,10 +68,10 @@
 
   /** A view on its way; it is encoded once for all peers, and not at all if a newer one replaces it. */
   private final class Outgoing {
-    final View view;
+    final MachineView view;
     private byte[] encoded;
 
-    Outgoing(View view) {
+    Outgoing(MachineView view) {
       this.view = view;
     }
 
@@ -112,15 +113,15 @@
   }
 
   public PeerLink(
-      HttpCaller caller,
-      Loop loop,
+      HttpClient caller,
+      EventLoop loop,
       String label,
       String boot,
       List<Peer> peers,
       BooleanSupplier valid,
       BooleanSupplier deaf,
-      Consumer<View> received,
-      Supplier<List<View>> told,
+      Consumer<MachineView> received,
+      Supplier<List<MachineView>> told,
       Supplier<ObjectNode> fleetNews,
       Consumer<ObjectNode> fleetNewsReceived,
       Supplier<Set<String>> informed) {
@@ -164,7 +165,7 @@
   }
 
   /** Passes a view on; views of the same machine that wait are replaced. */
-  public void publish(View view) {
+  public void publish(MachineView view) {
     Outgoing outgoing = new Outgoing(view);
     for (Link link : links.values()) {
       if (link.informed) {
@@ -221,13 +222,13 @@
         "/views",
         body,
         TIMEOUT,
-        new HttpCaller.Outcome() {
+        new HttpClient.ResponseHandler() {
           @Override
           public void answer(int status, byte[] answer) {
             link.inFlight = false;
             try {
-              heard(link, Read.map(msgpack.readTree(answer), "answer"));
-            } catch (IOException | BadInput e) {
+              heard(link, FieldReader.map(msgpack.readTree(answer), "answer"));
+            } catch (IOException | InvalidMessageException e) {
               malformed.tell("peer link: unreadable answer of " + link.peer.label(), e.getMessage());
             }
             if (!link.pending.isEmpty()) {
@@ -276,10 +277,10 @@
   }
 
   /** Takes in what every message and every answer says of its sender. */
-  private void heard(Link link, ObjectNode about) throws BadInput {
-    link.said = Read.flag(about, "valid");
-    link.deaf = Read.flagOr(about, "deaf", false);
-    String itsBoot = Read.text(about, "boot");
+  private void heard(Link link, ObjectNode about) throws InvalidMessageException {
+    link.said = FieldReader.flag(about, "valid");
+    link.deaf = FieldReader.flagOr(about, "deaf", false);
+    String itsBoot = FieldReader.text(about, "boot");
     link.heardAt = loop.now();
     link.refusedSince = null;
     link.silences = 0;
@@ -305,19 +306,20 @@
   public void handle(String method, String path, byte[] body, HttpServer.Reply reply) {
     try {
       JsonNode node = msgpack.readTree(body);
-      ObjectNode message = Read.map(node, "body");
-      Link link = links.get(Read.text(message, "from"));
+      ObjectNode message = FieldReader.map(node, "body");
+      Link link = links.get(FieldReader.text(message, "from"));
       if (link != null) {
         heard(link, message);
       }
-      if (Read.has(message, "fleet")) {
-        fleetNewsReceived.accept(Read.map(message, "fleet"));
+      if (FieldReader.has(message, "fleet")) {
+        fleetNewsReceived.accept(FieldReader.map(message, "fleet"));
       }
-      for (JsonNode view : Read.list(message, "views")) {
-        received.accept(View.read(Read.map(msgpack.readTree(view.binaryValue()), "views")));
+      for (JsonNode view : FieldReader.list(message, "views")) {
+        received.accept(
+            MachineView.read(FieldReader.map(msgpack.readTree(view.binaryValue()), "views")));
       }
       reply.send(200, encode(about(valid.getAsBoolean())));
-    } catch (IOException | BadInput | RuntimeException e) {
+    } catch (IOException | InvalidMessageException | RuntimeException e) {
       malformed.tell("peer link: unreadable message", e.getMessage());
       reply.send(400, new byte[0]);
     }
--- a/src/main/java/io/tansystack/records/JobRecord.java
+++ b/src/main/java/io/tansystack/records/JobRecord.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.wire.Answers.JobState;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Read;
-import io.tansystack.wire.Shape;
+import io.tansystack.wire.Responses.JobStatus;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
@@ -46,13 +46,13 @@
     }
 
     /** What users are told of a job in a final phase. */
-    public JobState state() {
-      return this == DONE ? JobState.DONE : JobState.CANCELLED;
+    public JobStatus state() {
+      return this == DONE ? JobStatus.DONE : JobStatus.CANCELLED;
     }
   }
 
   /** Proof that one attempt of a task on a machine is over; {@code done} if it completed. */
-  public record Over(int task, long attempt, String machine, boolean done) {}
+  public record EndedAttempt(int task, long attempt, String machine, boolean done) {}
 
   /** One machine's part of a placement round. */
   public record Assignment(String machine, long session, TaskSet tasks) {}
@@ -132,22 +132,22 @@
    * Takes in proofs. A proof that matches no placement changes nothing, so repeated and late ones do
    * no harm. The job becomes done only here, when its last task has completed.
    */
-  public JobRecord absorbed(Collection<Over> proofs) {
+  public JobRecord absorbed(Collection<EndedAttempt> proofs) {
     Map<String, BitSet> over = new HashMap<>();
     BitSet nowDone = done.toBits();
     boolean gangDone = false;
     boolean gangBroken = false;
-    for (Over proof : proofs) {
+    for (EndedAttempt proof : proofs) {
       if (!holds(proof.machine, proof.attempt, proof.task)) {
         continue;
       }
       over.computeIfAbsent(key(proof.machine, proof.attempt), k -> new BitSet()).set(proof.task);
-      if (active() && spec.shape() != Shape.SERVICE) {
+      if (active() && spec.shape() != JobKind.SERVICE) {
         if (proof.done) {
           nowDone.set(proof.task);
-          gangDone = spec.shape() == Shape.GANG;
+          gangDone = spec.shape() == JobKind.GANG;
         } else {
-          gangBroken = spec.shape() == Shape.GANG;
+          gangBroken = spec.shape() == JobKind.GANG;
         }
       }
     }
@@ -171,7 +171,7 @@
       nowDone.set(0, spec.tasks());
     }
     Phase next = phase;
-    if (active() && spec.shape() != Shape.SERVICE && nowDone.cardinality() >= spec.tasks()) {
+    if (active() && spec.shape() != JobKind.SERVICE && nowDone.cardinality() >= spec.tasks()) {
       next = Phase.DONE;
     }
     JobRecord result =
@@ -220,48 +220,48 @@
     return count;
   }
 
-  public JobState state() {
+  public JobStatus state() {
     if (!active()) {
       return phase.state();
     }
-    return placements.isEmpty() ? JobState.PENDING : JobState.RUNNING;
+    return placements.isEmpty() ? JobStatus.PENDING : JobStatus.RUNNING;
   }
 
-  public static JobRecord read(ObjectNode map) throws BadInput {
+  public static JobRecord read(ObjectNode map) throws InvalidMessageException {
     return read(map, null);
   }
 
   /** @param known the job's specification if it is known; it never changes and need not be read again */
-  public static JobRecord read(ObjectNode map, JobSpec known) throws BadInput {
+  public static JobRecord read(ObjectNode map, JobSpec known) throws InvalidMessageException {
     Phase phase = null;
-    String text = Read.text(map, "phase");
+    String text = FieldReader.text(map, "phase");
     for (Phase candidate : Phase.values()) {
       if (candidate.text.equals(text)) {
         phase = candidate;
       }
     }
     if (phase == null) {
-      throw new BadInput("phase: unknown value");
+      throw new InvalidMessageException("phase: unknown value");
     }
-    long at = Read.integer(map, "at");
-    if (!Read.has(map, "spec")) {
+    long at = FieldReader.integer(map, "at");
+    if (!FieldReader.has(map, "spec")) {
       if (phase == Phase.ACTIVE) {
-        throw new BadInput("spec: missing");
+        throw new InvalidMessageException("spec: missing");
       }
       return new JobRecord(null, at, phase, TaskSet.EMPTY, 0, List.of(), 0);
     }
     List<Placement> placements = new ArrayList<>();
-    for (JsonNode node : Read.list(map, "placed")) {
+    for (JsonNode node : FieldReader.list(map, "placed")) {
       placements.add(Placement.read(node));
     }
     return new JobRecord(
-        known != null ? known : JobSpec.read(Read.map(map, "spec")),
+        known != null ? known : JobSpec.read(FieldReader.map(map, "spec")),
         at,
         phase,
         Placement.tasks(map, "done"),
-        Read.integer(map, "attempt"),
+        FieldReader.integer(map, "attempt"),
         List.copyOf(placements),
-        Read.has(map, "cancelledAt") ? Read.integer(map, "cancelledAt") : 0);
+        FieldReader.has(map, "cancelledAt") ? FieldReader.integer(map, "cancelledAt") : 0);
   }
 
   public ObjectNode write() {
--- a/src/main/java/io/tansystack/records/Placement.java
+++ b/src/main/java/io/tansystack/records/Placement.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.wire.BadInput;
-import io.tansystack.wire.Read;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
 import io.tansystack.wire.TaskId;
 
 /**
@@ -31,7 +31,7 @@
   }
 
   /** Reads the written form: machine, session, attempt, tasks, and a last word where it is to stop. */
-  static Placement read(JsonNode node) throws BadInput {
+  static Placement read(JsonNode node) throws InvalidMessageException {
     String text = node.asText();
     try {
       int session = text.indexOf(' ');
@@ -45,15 +45,15 @@
           TaskSet.parse(text.substring(tasks + 1, text.length() - (stop ? STOP.length() : 0))),
           stop);
     } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-      throw new BadInput("placed: not a placement");
+      throw new InvalidMessageException("placed: not a placement");
     }
   }
 
-  static TaskSet tasks(ObjectNode map, String field) throws BadInput {
+  static TaskSet tasks(ObjectNode map, String field) throws InvalidMessageException {
     try {
-      return TaskSet.parse(Read.text(map, field));
+      return TaskSet.parse(FieldReader.text(map, field));
     } catch (IllegalArgumentException e) {
-      throw new BadInput(field + ": not task ranges");
+      throw new InvalidMessageException(field + ": not task ranges");
     }
   }
 
--- a/src/main/java/io/tansystack/records/RecordLimit.java
+++ b/src/main/java/io/tansystack/records/RecordSizeLimit.java
@@ -11,7 +11,7 @@
  *
  * @param valueBytes the state service's limit, measured in JSON
  */
-public record RecordLimit(int valueBytes) {
+public record RecordSizeLimit(int valueBytes) {
   /** Session, attempt, a last word, and what stands between, of each placement. */
   private static final int PLACEMENT_CHARS = 28;
 
--- a/src/main/java/io/tansystack/recovery/OrderPace.java
+++ b/src/main/java/io/tansystack/recovery/CommandThrottle.java
@@ -1,7 +1,7 @@
 package io.tansystack.recovery;
 
-import io.tansystack.cluster.PlacementIndex.Placed;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.PlacementIndex.IndexedPlacement;
+import io.tansystack.http.EventLoop;
 import io.tansystack.store.RateBudget;
 import io.tansystack.wire.JobSpec;
 import java.time.Duration;
@@ -18,7 +18,7 @@
  * controller sends no more than some times what its recorded work needs: halts at once, since
  * cancelled work has only so long, then launches by urgency, and what is only to be forgotten last.
  */
-public final class OrderPace {
+public final class CommandThrottle {
   /**
    * How many times the mean rate. The busiest second of a minute has some two and a half times the mean
    * where jobs come in arrays, and twice that a start may need.
@@ -27,7 +27,7 @@
 
   private static final Duration TURN = Duration.ofMillis(50);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Consumer<String> turn;
   private final List<Set<String>> waiting = new ArrayList<>();
   private RateBudget budget;
@@ -36,7 +36,7 @@
   private String turnOf;
 
   /** @param turn told of a machine whose turn has come; what it lacks is looked at anew then */
-  public OrderPace(Loop loop, Consumer<String> turn) {
+  public CommandThrottle(EventLoop loop, Consumer<String> turn) {
     this.loop = loop;
     this.turn = turn;
     for (int i = 0; i <= Reconciliation.FORGETS; i++) {
@@ -48,9 +48,9 @@
    * Orders a second that what is recorded on a machine needs as it goes on: a launch and a forget for
    * each task that ends. A machine has at least one every ten seconds.
    */
-  public static double usual(List<Placed> placed) {
+  public static double usual(List<IndexedPlacement> placed) {
     double usual = 0.1;
-    for (Placed p : placed) {
+    for (IndexedPlacement p : placed) {
       JobSpec spec = p.job().record().spec();
       if (spec != null && spec.estimateS() > 0) {
         usual += 2 * p.placement().tasks().size() / spec.estimateS();
--- a/src/main/java/io/tansystack/recovery/Estates.java
+++ b/src/main/java/io/tansystack/recovery/FailoverCoordinator.java
@@ -1,12 +1,12 @@
 package io.tansystack.recovery;
 
-import io.tansystack.cluster.Heirs;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.FailoverRecord;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.Ownership;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.OwnershipConditions;
+import io.tansystack.http.EventLoop;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -19,28 +19,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands all machines of a controller that has ended to the others by one write, {@link Heirs}. It holds
+ * Hands all machines of a controller that has ended to the others by one write, {@link FailoverRecord}. It holds
  * only while that controller has no record, and while nobody else has named heirs since; so a
  * controller that comes back at the same moment keeps its machines, and of two that name heirs one
  * wins.
  */
-public final class Estates {
-  private static final Logger log = LoggerFactory.getLogger(Estates.class);
+public final class FailoverCoordinator {
+  private static final Logger log = LoggerFactory.getLogger(FailoverCoordinator.class);
   private static final Duration WAIT = Duration.ofSeconds(2);
 
   /** Until the copy of the records has had time to show the outcome. */
   private static final Duration SHOWN = Duration.ofMillis(500);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
+  private final ClusterState world;
   private final String label;
   private final Predicate<String> unfit;
   private final Set<String> underWay = new HashSet<>();
 
   /** @param unfit controllers to which no worker should be sent */
-  public Estates(
-      Loop loop, StoreClient store, World world, String label, Predicate<String> unfit) {
+  public FailoverCoordinator(
+      EventLoop loop,
+      StoreClient store,
+      ClusterState world,
+      String label,
+      Predicate<String> unfit) {
     this.loop = loop;
     this.store = store;
     this.world = world;
@@ -56,8 +60,8 @@
     }
     Map<String, List<String>> heirs = heirs();
     store.commitUrgent(
-        Ownership.left(world, machine, label),
-        List.of(new Write(World.heirsKey(claimant), Heirs.write(heirs), 0)),
+        OwnershipConditions.left(world, machine, label),
+        List.of(new Write(ClusterState.heirsKey(claimant), FailoverRecord.write(heirs), 0)),
         WAIT,
         (result, revision) -> {
           log.info(
@@ -84,7 +88,7 @@
                 all.add(controller);
               }
             });
-    heirs.put(Heirs.ELSEWHERE, all);
+    heirs.put(FailoverRecord.ELSEWHERE, all);
     return heirs;
   }
 }
--- a/src/main/java/io/tansystack/recovery/Coverage.java
+++ b/src/main/java/io/tansystack/recovery/FleetCoverage.java
@@ -1,7 +1,7 @@
 package io.tansystack.recovery;
 
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.schedule.RentPlanner.Kind;
+import io.tansystack.schedule.RentPlanner.MachineOffering;
 import io.tansystack.wire.JobSpec;
 import it.unimi.dsi.fastutil.objects.Object2IntMap;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
@@ -15,18 +15,18 @@
  * compares, and for no others: jobs of a type or zone that is known go on, and a launch depends on its
  * own machine alone. The wait is bounded: what has not been heard of by then hangs, is dead or cut off.
  */
-public final class Coverage {
+public final class FleetCoverage {
   /** Of the machines that a job may use, this part may be unknown: some always hang. */
   private static final double UNKNOWN = 0.1;
 
   private final Duration longest;
-  private final Object2IntOpenHashMap<Kind> all = new Object2IntOpenHashMap<>();
-  private final Object2IntOpenHashMap<Kind> unheard = new Object2IntOpenHashMap<>();
+  private final Object2IntOpenHashMap<MachineOffering> all = new Object2IntOpenHashMap<>();
+  private final Object2IntOpenHashMap<MachineOffering> unheard = new Object2IntOpenHashMap<>();
   private long recordedUntil = -1;
   private Duration until = Duration.ZERO;
 
   /** @param longest by then every machine that can report has, and its owner has told of it */
-  public Coverage(Duration longest) {
+  public FleetCoverage(Duration longest) {
     this.longest = longest;
   }
 
@@ -51,7 +51,7 @@
       return;
     }
     for (MachineRecord machine : machines) {
-      Kind kind = new Kind(machine.type(), machine.zone(), machine.spot());
+      MachineOffering kind = new MachineOffering(machine.type(), machine.zone(), machine.spot());
       all.addTo(kind, 1);
       // One that was claimed since came up just now, and what comes up tells of itself.
       if (machine.version() <= recordedUntil && !heard.test(machine.name())) {
@@ -67,8 +67,8 @@
   public boolean covers(JobSpec spec) {
     int machines = 0;
     int unknown = 0;
-    for (Object2IntMap.Entry<Kind> entry : all.object2IntEntrySet()) {
-      Kind kind = entry.getKey();
+    for (Object2IntMap.Entry<MachineOffering> entry : all.object2IntEntrySet()) {
+      MachineOffering kind = entry.getKey();
       if (spec.allows(kind.type(), kind.zone(), kind.spot())) {
         machines += entry.getIntValue();
         unknown += unheard.getInt(kind);
--- a/src/main/java/io/tansystack/recovery/Owners.java
+++ b/src/main/java/io/tansystack/recovery/OwnerLiveness.java
@@ -1,7 +1,7 @@
 package io.tansystack.recovery;
 
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.http.EventLoop;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
  * awaited: as long as its workers' leases certainly allow, and no longer than starts have been seen to
  * take. No rule rests on a verdict; a wrong one costs one write or some seconds.
  */
-public final class Owners {
+public final class OwnerLiveness {
   /** What to do with a worker of the controller. */
   public enum Verdict {
     /** It acts: its workers belong there. */
@@ -46,13 +46,13 @@
     Duration goneSince;
   }
 
-  private final Loop loop;
-  private final World world;
+  private final EventLoop loop;
+  private final ClusterState world;
   private final InstantSource clock;
   private final Duration recordLife;
   private final Duration workerLease;
   private final Duration reportInterval;
-  private final Recovery.Contact contact;
+  private final RecoveryContext.PeerHealth contact;
   private final Map<String, Seen> seen = new HashMap<>();
   private Duration actsSince;
 
@@ -66,14 +66,14 @@
   private Duration longestStart;
 
   /** @param recordLife how long a controller's record outlives its last renewal */
-  public Owners(
-      Loop loop,
-      World world,
+  public OwnerLiveness(
+      EventLoop loop,
+      ClusterState world,
       InstantSource clock,
       Duration recordLife,
       Duration workerLease,
       Duration reportInterval,
-      Recovery.Contact contact) {
+      RecoveryContext.PeerHealth contact) {
     this.loop = loop;
     this.world = world;
     this.clock = clock;
@@ -92,7 +92,7 @@
       aliveBefore = lastSign(now);
     }
     Seen about = about(controller);
-    World.ControllerRecord record = world.controllers().get(controller);
+    ClusterState.ControllerRecord record = world.controllers().get(controller);
     if (record != null) {
       return present(about, record, controller, now);
     }
@@ -111,7 +111,7 @@
   }
 
   private Verdict present(
-      Seen about, World.ControllerRecord record, String controller, Duration now) {
+      Seen about, ClusterState.ControllerRecord record, String controller, Duration now) {
     if (about.boot != null && !about.boot.equals(record.boot()) && about.awaySince != null) {
       Duration took = now.minus(about.awaySince);
       longestStart = longestStart == null || took.compareTo(longestStart) > 0 ? took : longestStart;
--- a/src/main/java/io/tansystack/recovery/Reconciliation.java
+++ b/src/main/java/io/tansystack/recovery/Reconciliation.java
@@ -1,7 +1,7 @@
 package io.tansystack.recovery;
 
-import io.tansystack.cluster.PlacementIndex.Placed;
-import io.tansystack.cluster.World.Job;
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.PlacementIndex.IndexedPlacement;
 import io.tansystack.records.JobRecord;
 import io.tansystack.records.Placement;
 import io.tansystack.wire.Command;
@@ -40,7 +40,7 @@
     List<Command> launches,
     Priority mostUrgent,
     List<Command> forgets,
-    List<Attempt> absent) {
+    List<TaskAttempt> absent) {
   public static final int HALTS = 0;
   public static final int FORGETS = 1 + Priority.values().length;
 
@@ -61,9 +61,9 @@
    * @param placed what is recorded on the machine
    */
   public static Reconciliation of(
-      long session, Map<Attempt, TaskReport> listed, List<Placed> placed) {
-    Map<Attempt, Recorded> recorded = new LinkedHashMap<>();
-    for (Placed p : placed) {
+      long session, Map<TaskAttempt, TaskReport> listed, List<IndexedPlacement> placed) {
+    Map<TaskAttempt, Recorded> recorded = new LinkedHashMap<>();
+    for (IndexedPlacement p : placed) {
       Job job = p.job();
       Recorded r = new Recorded(p.placement(), job.record());
       r.placement
@@ -71,7 +71,7 @@
           .forEach(
               task ->
                   recorded.put(
-                      new Attempt(new TaskId(job.id(), task), r.placement.attempt()), r));
+                      new TaskAttempt(new TaskId(job.id(), task), r.placement.attempt()), r));
     }
     List<Command> halts = new ArrayList<>();
     List<Command> forgets = new ArrayList<>();
@@ -90,9 +90,9 @@
             }
           }
         });
-    List<Map.Entry<Attempt, Recorded>> missing = new ArrayList<>();
-    List<Attempt> absent = new ArrayList<>();
-    for (Map.Entry<Attempt, Recorded> entry : recorded.entrySet()) {
+    List<Map.Entry<TaskAttempt, Recorded>> missing = new ArrayList<>();
+    List<TaskAttempt> absent = new ArrayList<>();
+    for (Map.Entry<TaskAttempt, Recorded> entry : recorded.entrySet()) {
       Recorded r = entry.getValue();
       if (!listed.containsKey(entry.getKey()) && r.placement.session() == session) {
         if (r.wanted()) {
@@ -104,8 +104,8 @@
     }
     missing.sort(Comparator.comparing(entry -> entry.getValue().priority()));
     List<Command> launches = new ArrayList<>();
-    for (Map.Entry<Attempt, Recorded> entry : missing) {
-      Attempt attempt = entry.getKey();
+    for (Map.Entry<TaskAttempt, Recorded> entry : missing) {
+      TaskAttempt attempt = entry.getKey();
       launches.add(new Command(Command.Op.START, attempt.task(), attempt.number(), 0));
     }
     Priority mostUrgent = missing.isEmpty() ? null : missing.get(0).getValue().priority();
@@ -118,10 +118,10 @@
   }
 
   /** Without the halts that were sent lately and may still be under way. */
-  public Reconciliation without(Predicate<Attempt> haltedLately) {
+  public Reconciliation without(Predicate<TaskAttempt> haltedLately) {
     List<Command> left =
         halts.stream()
-            .filter(halt -> !haltedLately.test(new Attempt(halt.task(), halt.attempt())))
+            .filter(halt -> !haltedLately.test(new TaskAttempt(halt.task(), halt.attempt())))
             .toList();
     return new Reconciliation(left, launches, mostUrgent, forgets, absent);
   }
--- a/src/main/java/io/tansystack/recovery/Recovery.java
+++ b/src/main/java/io/tansystack/recovery/RecoveryContext.java
@@ -1,7 +1,7 @@
 package io.tansystack.recovery;
 
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.http.EventLoop;
 import io.tansystack.settings.PlatformSettings;
 import io.tansystack.store.StoreClient;
 import java.time.Duration;
@@ -16,7 +16,8 @@
  * @param coverage how much of the fleet this controller has heard of since it came to plan
  * @param longest how long a start takes at most, by the workers' lease and reports
  */
-public record Recovery(Owners owners, Estates estates, Coverage coverage, Duration longest) {
+public record RecoveryContext(
+    OwnerLiveness owners, FailoverCoordinator estates, FleetCoverage coverage, Duration longest) {
 
   /**
    * What is known of the other controllers by calling them: hints.
@@ -26,29 +27,29 @@
    * @param refuses its address refuses connections
    * @param silent it has neither answered nor refused for a while
    */
-  public record Contact(
+  public record PeerHealth(
       Predicate<String> unfit,
       Predicate<String> heard,
       Predicate<String> refuses,
       Predicate<String> silent) {}
 
   /** @param recordLife how long a controller's record outlives its last renewal */
-  public static Recovery of(
-      Loop loop,
+  public static RecoveryContext of(
+      EventLoop loop,
       StoreClient store,
-      World world,
+      ClusterState world,
       PlatformSettings settings,
       InstantSource clock,
       Duration recordLife,
-      Contact contact) {
+      PeerHealth contact) {
     Duration lease = settings.workers().lease();
     Duration report = settings.workers().report();
     // The owner is back or replaced within the lease, and a report to a silent one is given up on.
     Duration longest = lease.dividedBy(2).plus(report.multipliedBy(5).dividedBy(4));
-    return new Recovery(
-        new Owners(loop, world, clock, recordLife, lease, report, contact),
-        new Estates(loop, store, world, settings.label(), contact.unfit()),
-        new Coverage(longest),
+    return new RecoveryContext(
+        new OwnerLiveness(loop, world, clock, recordLife, lease, report, contact),
+        new FailoverCoordinator(loop, store, world, settings.label(), contact.unfit()),
+        new FleetCoverage(longest),
         longest);
   }
 }
--- a/src/main/java/io/tansystack/recovery/Start.java
+++ b/src/main/java/io/tansystack/recovery/StartupLogger.java
@@ -1,9 +1,9 @@
 package io.tansystack.recovery;
 
+import io.tansystack.cluster.ClusterState;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.PlacementIndex.Placed;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.PlacementIndex.IndexedPlacement;
+import io.tansystack.http.EventLoop;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
@@ -17,8 +17,8 @@
  * waits for, and one when this controller's machines are reconciled with the records. Nothing waits for a
  * person to read them.
  */
-public final class Start {
-  private static final Logger log = LoggerFactory.getLogger(Start.class);
+public final class StartupLogger {
+  private static final Logger log = LoggerFactory.getLogger(StartupLogger.class);
   private static final Duration TELL_EVERY = Duration.ofSeconds(3);
 
   /**
@@ -30,26 +30,26 @@
    * @param launches orders given since it started, and so the next two
    * @param lost tasks that were recorded on them and were gone with an earlier session of the worker
    */
-  public record Standing(
+  public record StartupCounts(
       int machines, int heard, int waiting, long launches, long halts, long forgets, int lost) {}
 
-  private final Loop loop;
-  private final World world;
+  private final EventLoop loop;
+  private final ClusterState world;
   private final String label;
   private final Duration longest;
-  private final Supplier<Standing> standing;
-  private final Coverage coverage;
+  private final Supplier<StartupCounts> standing;
+  private final FleetCoverage coverage;
   private Duration began;
   private Duration toldAt;
   private boolean over;
 
   /** @param longest by then a start is over, whatever has not been heard of */
-  public Start(
-      Loop loop,
-      World world,
+  public StartupLogger(
+      EventLoop loop,
+      ClusterState world,
       String label,
-      Recovery recovery,
-      Supplier<Standing> standing) {
+      RecoveryContext recovery,
+      Supplier<StartupCounts> standing) {
     this.loop = loop;
     this.world = world;
     this.label = label;
@@ -59,9 +59,9 @@
   }
 
   /** Tasks placed on a machine that ended with an earlier session of its worker, unseen by anybody. */
-  public static int lost(List<Placed> placed, long session) {
+  public static int lost(List<IndexedPlacement> placed, long session) {
     return placed.stream()
-        .map(Placed::placement)
+        .map(IndexedPlacement::placement)
         .filter(placement -> placement.session() < session)
         .mapToInt(placement -> placement.tasks().size())
         .sum();
@@ -86,7 +86,7 @@
         return; // There is nothing to be reconciled.
       }
     }
-    Standing s = standing.get();
+    StartupCounts s = standing.get();
     Map<String, Integer> away = away();
     boolean reconciled = s.heard == s.machines && s.waiting == 0 && away.isEmpty();
     over = reconciled || now.minus(began).compareTo(longest) > 0;
@@ -108,7 +108,7 @@
     }
   }
 
-  private String left(Standing s, Map<String, Integer> away) {
+  private String left(StartupCounts s, Map<String, Integer> away) {
     return String.format(
         "%d of %s's %d machines, %d machines that have orders to come, owners that are away %s,"
             + " word of %d machines of others",
--- a/src/main/java/io/tansystack/recovery/Attempt.java
+++ b/src/main/java/io/tansystack/recovery/TaskAttempt.java
@@ -3,10 +3,10 @@
 import io.tansystack.wire.TaskId;
 
 /** A task's attempt on one machine. A key written out for the reason given in {@link TaskId}. */
-public record Attempt(TaskId task, long number) {
+public record TaskAttempt(TaskId task, long number) {
   @Override
   public boolean equals(Object other) {
-    return other instanceof Attempt a && number == a.number && task.equals(a.task);
+    return other instanceof TaskAttempt a && number == a.number && task.equals(a.task);
   }
 
   @Override
--- a/src/main/java/io/tansystack/schedule/AcceleratorKeep.java
+++ b/src/main/java/io/tansystack/schedule/AcceleratorReservation.java
@@ -13,11 +13,11 @@
  * Keeps machines with accelerators for the work that needs those. By delivery time alone, cheap tasks
  * would fill them, and gangs would wait for their only machines.
  */
-final class AcceleratorKeep {
+final class AcceleratorReservation {
   /** What waits for accelerators, and how many such tasks all machines together could take now. */
   private final class Waiting {
     final JobSpec shape;
-    final Reference2IntOpenHashMap<Room> placesIn = new Reference2IntOpenHashMap<>();
+    final Reference2IntOpenHashMap<MachineCapacity> placesIn = new Reference2IntOpenHashMap<>();
     int places;
 
     /** So many of the pass's changes are taken in; -1 before the first question. */
@@ -29,9 +29,9 @@
 
     /** Counted once in a pass, and then only where rooms have changed. */
     int places() {
-      List<Room> changes = rooms.changes();
+      List<MachineCapacity> changes = rooms.changes();
       if (seen < 0) {
-        (Ask.of(shape).needsCpus() ? rooms.free() : rooms.all()).forEach(this::count);
+        (ResourceRequest.of(shape).needsCpus() ? rooms.free() : rooms.all()).forEach(this::count);
       } else {
         for (; seen < changes.size(); seen++) {
           count(changes.get(seen));
@@ -41,7 +41,7 @@
       return places;
     }
 
-    private void count(Room room) {
+    private void count(MachineCapacity room) {
       if (room.machine.type().gpus() > 0 && room.machine.open() && allows(shape, room)) {
         int now = room.fits(shape);
         places += now - placesIn.put(room, now);
@@ -49,24 +49,24 @@
     }
   }
 
-  private final ClusterRooms rooms;
+  private final ClusterCapacity rooms;
 
   /** One job for each distinct thing that is asked of accelerators. */
-  private final Map<Ask, JobSpec> shapes = new LinkedHashMap<>();
+  private final Map<ResourceRequest, JobSpec> shapes = new LinkedHashMap<>();
 
   /** Those of them that have nothing placed: machines that could take them are kept for them. */
-  private final Map<Ask, Waiting> waiting = new LinkedHashMap<>();
+  private final Map<ResourceRequest, Waiting> waiting = new LinkedHashMap<>();
 
   private int waitingTasks;
 
   /** Machines that are booting, without accelerators: worth waiting for. */
-  private final List<Room> coming = new ArrayList<>();
+  private final List<MachineCapacity> coming = new ArrayList<>();
 
-  AcceleratorKeep(ClusterRooms rooms, List<MachineState> booting) {
+  AcceleratorReservation(ClusterCapacity rooms, List<MachineState> booting) {
     this.rooms = rooms;
     for (MachineState machine : booting) {
       if (machine.type().gpus() <= 0) {
-        coming.add(new Room(machine));
+        coming.add(new MachineCapacity(machine));
       }
     }
   }
@@ -76,7 +76,7 @@
     if (spec.gpus() <= 0 || !job.record().active()) {
       return;
     }
-    Ask ask = Ask.of(spec);
+    ResourceRequest ask = ResourceRequest.of(spec);
     shapes.putIfAbsent(ask, spec);
     if (job.record().placements().isEmpty() && !job.suspected()) {
       waiting.computeIfAbsent(ask, k -> new Waiting(spec));
@@ -85,7 +85,7 @@
   }
 
   /** Whether one more such task takes the place of a task that needs this machine's accelerators. */
-  boolean spoils(JobSpec spec, Room room) {
+  boolean spoils(JobSpec spec, MachineCapacity room) {
     if (spec.gpus() > 0 || room.machine.type().gpus() <= 0) {
       return false;
     }
@@ -93,7 +93,8 @@
       if (shape.allowsType(room.machine.type().name())) {
         int before = room.fits(shape);
         int after =
-            Room.count(shape, room.cpus - spec.cpus(), room.gpus, room.mem - spec.memGb());
+            MachineCapacity.count(
+                shape, room.cpus - spec.cpus(), room.gpus, room.mem - spec.memGb());
         if (after < before) {
           return true;
         }
@@ -118,7 +119,7 @@
    * left for it. Without this the first machines to boot, often those with accelerators, fill up with
    * replicas that stay for long while the jobs they were rented for go on waiting.
    */
-  boolean keptForOthers(Room room) {
+  boolean keptForOthers(MachineCapacity room) {
     for (Waiting others : waiting.values()) {
       if (room.fits(others.shape) > 0
           && allows(others.shape, room)
@@ -129,7 +130,7 @@
     return false;
   }
 
-  private static boolean allows(JobSpec shape, Room room) {
+  private static boolean allows(JobSpec shape, MachineCapacity room) {
     MachineState m = room.machine;
     return shape.allows(m.type().name(), m.zone(), m.spot());
   }
@@ -138,11 +139,11 @@
    * Whether the task had better wait for a machine that is booting than spoil one with accelerators.
    * Machines with accelerators often boot first; replicas that fill them then stay for long.
    */
-  boolean waitsForComing(JobSpec spec, Room room) {
+  boolean waitsForComing(JobSpec spec, MachineCapacity room) {
     if (!spoils(spec, room)) {
       return false;
     }
-    for (Room next : coming) {
+    for (MachineCapacity next : coming) {
       if (allows(spec, next) && next.fits(spec) > 0) {
         next.take(spec, 1);
         return true;
--- a/src/main/java/io/tansystack/schedule/Held.java
+++ b/src/main/java/io/tansystack/schedule/AllocatedTasks.java
@@ -2,9 +2,9 @@
 
 import io.tansystack.records.JobRecord;
 import io.tansystack.records.Placement;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 
 /**
  * Tasks of a job that are recorded on a machine.
@@ -12,10 +12,11 @@
  * @param submittedMs when the job was submitted, as its record says
  * @param active whether the job goes on; otherwise its tasks are about to leave
  */
-record Held(String job, JobSpec spec, long submittedMs, boolean active, Placement placement) {
-  static Held of(JobRecord record, Placement placement) {
+record AllocatedTasks(
+    String job, JobSpec spec, long submittedMs, boolean active, Placement placement) {
+  static AllocatedTasks of(JobRecord record, Placement placement) {
     JobSpec spec = record.spec();
-    return new Held(spec.id(), spec, record.submittedMs(), record.active(), placement);
+    return new AllocatedTasks(spec.id(), spec, record.submittedMs(), record.active(), placement);
   }
 
   Priority priority() {
@@ -32,10 +33,10 @@
   }
 
   boolean isService() {
-    return spec.shape() == Shape.SERVICE;
+    return spec.shape() == JobKind.SERVICE;
   }
 
-  Held withPlacement(Placement rest) {
-    return new Held(job, spec, submittedMs, active, rest);
+  AllocatedTasks withPlacement(Placement rest) {
+    return new AllocatedTasks(job, spec, submittedMs, active, rest);
   }
 }
--- a/src/main/java/io/tansystack/schedule/Ranking.java
+++ b/src/main/java/io/tansystack/schedule/CandidateRanking.java
@@ -15,32 +15,32 @@
  * The best rooms of each zone for jobs that are alike in all that decides between rooms. It is made
  * once in a pass; then only the rooms that the pass has changed since are judged again.
  */
-final class Ranking {
+final class CandidateRanking {
   /** So many rooms of a zone are ranked; when those are used up, all are judged anew. */
   private static final int RANKED = 256;
 
   /** The best rooms of one zone, as they were judged, and those that have changed since. */
   private static final class Zone {
-    final List<Scored> ranked;
-    final TreeSet<Scored> changed = new TreeSet<>();
+    final List<ScoredCandidate> ranked;
+    final TreeSet<ScoredCandidate> changed = new TreeSet<>();
 
     /** Whether there are rooms behind the ranked ones. */
     final boolean cut;
 
     int first;
 
-    Zone(List<Scored> ranked, boolean cut) {
+    Zone(List<ScoredCandidate> ranked, boolean cut) {
       this.ranked = ranked;
       this.cut = cut;
     }
   }
 
-  private final List<Room> changes;
-  private final Function<Room, Scored> judge;
+  private final List<MachineCapacity> changes;
+  private final Function<MachineCapacity, ScoredCandidate> judge;
   private final Map<String, Zone> zones = new TreeMap<>();
 
   /** What counts for rooms that have changed since the ranking was made. */
-  private final Reference2ObjectOpenHashMap<Room, Scored> current =
+  private final Reference2ObjectOpenHashMap<MachineCapacity, ScoredCandidate> current =
       new Reference2ObjectOpenHashMap<>();
 
   private final int madeAt;
@@ -51,20 +51,24 @@
    * @param changes rooms that the pass has changed, one for each change; more are added as it goes on
    * @param judge tells how good a room is; null for one that takes no task any more
    */
-  Ranking(List<Room> rooms, List<Room> changes, Function<Room, Scored> judge) {
+  CandidateRanking(
+      List<MachineCapacity> rooms,
+      List<MachineCapacity> changes,
+      Function<MachineCapacity, ScoredCandidate> judge) {
     this.changes = changes;
     this.judge = judge;
     this.madeAt = changes.size();
     this.seen = madeAt;
-    Map<String, List<Scored>> byZone = new TreeMap<>();
-    for (Room room : rooms) {
+    Map<String, List<ScoredCandidate>> byZone = new TreeMap<>();
+    for (MachineCapacity room : rooms) {
       byZone
           .computeIfAbsent(room.machine.zone(), k -> new ArrayList<>())
           .add(judge.apply(room));
     }
     byZone.forEach(
         (name, all) -> {
-          List<Scored> best = Candidates.least(all, RANKED, Comparator.naturalOrder());
+          List<ScoredCandidate> best =
+              CandidateSelector.least(all, RANKED, Comparator.naturalOrder());
           zones.put(name, new Zone(best, all.size() > RANKED));
         });
   }
@@ -87,16 +91,16 @@
     }
   }
 
-  private void judgeAgain(Room room) {
+  private void judgeAgain(MachineCapacity room) {
     Zone zone = zones.get(room.machine.zone());
     if (zone == null) {
       return; // None of its zone came into question, and room only shrinks.
     }
-    Scored before = current.get(room);
+    ScoredCandidate before = current.get(room);
     if (before != null) {
       zone.changed.remove(before);
     }
-    Scored now = judge.apply(room);
+    ScoredCandidate now = judge.apply(room);
     current.put(room, now);
     if (now != null) {
       zone.changed.add(now);
@@ -107,11 +111,11 @@
    * The best rooms of each zone that pass a test, the zone with the best one first; null if too few are
    * ranked to tell.
    */
-  Map<String, List<Room>> best(int mostInZone, Predicate<Scored> test) {
+  Map<String, List<MachineCapacity>> best(int mostInZone, Predicate<ScoredCandidate> test) {
     update();
-    List<List<Scored>> found = new ArrayList<>();
+    List<List<ScoredCandidate>> found = new ArrayList<>();
     for (Zone zone : zones.values()) {
-      List<Scored> best = best(zone, mostInZone, test);
+      List<ScoredCandidate> best = best(zone, mostInZone, test);
       if (best == null) {
         return null;
       }
@@ -120,9 +124,9 @@
       }
     }
     found.sort((one, other) -> one.get(0).compareTo(other.get(0)));
-    Map<String, List<Room>> result = new LinkedHashMap<>();
-    for (List<Scored> zone : found) {
-      List<Room> rooms = new ArrayList<>(zone.size());
+    Map<String, List<MachineCapacity>> result = new LinkedHashMap<>();
+    for (List<ScoredCandidate> zone : found) {
+      List<MachineCapacity> rooms = new ArrayList<>(zone.size());
       zone.forEach(scored -> rooms.add(scored.room()));
       result.put(zone.get(0).room().machine.zone(), rooms);
     }
@@ -130,16 +134,16 @@
   }
 
   /** Merges the ranked rooms that have not changed with those that have. */
-  private List<Scored> best(Zone zone, int most, Predicate<Scored> test) {
-    List<Scored> best = new ArrayList<>();
+  private List<ScoredCandidate> best(Zone zone, int most, Predicate<ScoredCandidate> test) {
+    List<ScoredCandidate> best = new ArrayList<>();
     var changed = zone.changed.iterator();
-    Scored nextChanged = changed.hasNext() ? changed.next() : null;
+    ScoredCandidate nextChanged = changed.hasNext() ? changed.next() : null;
     int at = zone.first;
     while (best.size() < most) {
       while (at < zone.ranked.size() && current.containsKey(zone.ranked.get(at).room())) {
         at++;
       }
-      Scored nextRanked = at < zone.ranked.size() ? zone.ranked.get(at) : null;
+      ScoredCandidate nextRanked = at < zone.ranked.size() ? zone.ranked.get(at) : null;
       if (nextRanked == null && zone.cut) {
         return null;
       }
@@ -148,7 +152,7 @@
       }
       boolean takeRanked =
           nextChanged == null || (nextRanked != null && nextRanked.compareTo(nextChanged) < 0);
-      Scored next = takeRanked ? nextRanked : nextChanged;
+      ScoredCandidate next = takeRanked ? nextRanked : nextChanged;
       if (takeRanked) {
         at++;
       } else {
--- a/src/main/java/io/tansystack/schedule/RoomIndex.java
+++ b/src/main/java/io/tansystack/schedule/CapacityIndex.java
@@ -1,6 +1,6 @@
 package io.tansystack.schedule;
 
-import io.tansystack.schedule.RentPlanner.Kind;
+import io.tansystack.schedule.RentPlanner.MachineOffering;
 import io.tansystack.schedule.Snapshot.JobState;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -15,11 +15,11 @@
  * Finds the machines that can take a job's tasks within one pass. What asks the same is looked up
  * once; from then on only the rooms that fitted are looked at, since room only shrinks during a pass.
  */
-final class RoomIndex {
+final class CapacityIndex {
   /** What is known of an ask: the kinds of machine that it allows, and rooms that fitted so far. */
   private static final class Answer {
     final BitSet kinds;
-    List<Room> fitting;
+    List<MachineCapacity> fitting;
 
     /** Rooms before this one have become full since the list was last cleared of those. */
     int first;
@@ -29,44 +29,44 @@
     }
   }
 
-  private final ClusterRooms rooms;
-  private final Map<Ask, Answer> answers = new HashMap<>();
+  private final ClusterCapacity rooms;
+  private final Map<ResourceRequest, Answer> answers = new HashMap<>();
 
   /** What found no machine at all in this pass. */
-  private final List<Ask> fullFor = new ArrayList<>();
+  private final List<ResourceRequest> fullFor = new ArrayList<>();
 
-  RoomIndex(ClusterRooms rooms) {
+  CapacityIndex(ClusterCapacity rooms) {
     this.rooms = rooms;
   }
 
-  private Answer answer(Ask ask) {
+  private Answer answer(ResourceRequest ask) {
     return answers.computeIfAbsent(ask, k -> new Answer(allowedKinds(ask)));
   }
 
-  private BitSet allowedKinds(Ask ask) {
+  private BitSet allowedKinds(ResourceRequest ask) {
     BitSet allowed = new BitSet();
-    List<Kind> kinds = rooms.kinds();
+    List<MachineOffering> kinds = rooms.kinds();
     for (int i = 0; i < kinds.size(); i++) {
-      Kind kind = kinds.get(i);
+      MachineOffering kind = kinds.get(i);
       allowed.set(i, ask.allows(kind.type(), kind.zone(), kind.spot()));
     }
     return allowed;
   }
 
   /** Whether what asks so may stand in a room at all, be there space or not. */
-  Predicate<Room> allowed(Ask ask) {
+  Predicate<MachineCapacity> allowed(ResourceRequest ask) {
     BitSet kinds = answer(ask).kinds;
     return room -> room.machine.open() && kinds.get(room.kind);
   }
 
   /** Whether the job may. */
-  Predicate<Room> allowed(JobState job, Ask ask) {
+  Predicate<MachineCapacity> allowed(JobState job, ResourceRequest ask) {
     Set<String> avoid = job.avoid();
     return allowed(ask).and(room -> !avoid.contains(room.machine.name()));
   }
 
   /** Rooms that may and can take one such task now, in the order of names; not to be changed. */
-  List<Room> fitting(Ask ask) {
+  List<MachineCapacity> fitting(ResourceRequest ask) {
     Answer answer = searched(ask);
     answer.fitting.removeIf(room -> !room.fitsOne(ask));
     answer.first = 0;
@@ -77,16 +77,16 @@
   }
 
   /** The same with rooms among them that have become full since; costs little where few are looked at. */
-  List<Room> mayFit(Ask ask) {
+  List<MachineCapacity> mayFit(ResourceRequest ask) {
     Answer answer = searched(ask);
-    List<Room> rooms = answer.fitting;
+    List<MachineCapacity> rooms = answer.fitting;
     while (answer.first < rooms.size() && !rooms.get(answer.first).fitsOne(ask)) {
       answer.first++;
     }
     return rooms.subList(answer.first, rooms.size());
   }
 
-  private Answer searched(Ask ask) {
+  private Answer searched(ResourceRequest ask) {
     Answer answer = answer(ask);
     if (answer.fitting == null) {
       answer.fitting = isFull(ask) ? new ArrayList<>() : search(ask);
@@ -94,10 +94,10 @@
     return answer;
   }
 
-  private List<Room> search(Ask ask) {
-    Predicate<Room> allowed = allowed(ask);
-    List<Room> found = new ArrayList<>();
-    for (Room room : ask.needsCpus() ? rooms.free() : rooms.all()) {
+  private List<MachineCapacity> search(ResourceRequest ask) {
+    Predicate<MachineCapacity> allowed = allowed(ask);
+    List<MachineCapacity> found = new ArrayList<>();
+    for (MachineCapacity room : ask.needsCpus() ? rooms.free() : rooms.all()) {
       if (allowed.test(room) && room.fitsOne(ask)) {
         found.add(room);
       }
@@ -105,8 +105,8 @@
     return found;
   }
 
-  private boolean isFull(Ask ask) {
-    for (Ask full : fullFor) {
+  private boolean isFull(ResourceRequest ask) {
+    for (ResourceRequest full : fullFor) {
       if (ask.asksNoLessThan(full)) {
         return true;
       }
--- a/src/main/java/io/tansystack/schedule/RoomMaker.java
+++ b/src/main/java/io/tansystack/schedule/CapacityReclaimer.java
@@ -1,9 +1,9 @@
 package io.tansystack.schedule;
 
 import io.tansystack.schedule.Snapshot.JobState;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -12,16 +12,20 @@
 import java.util.function.Predicate;
 
 /** For tasks that found no room: counts on what is leaving, and stops what may be stopped for them. */
-final class RoomMaker {
-  private final ClusterRooms rooms;
-  private final RoomIndex index;
-  private final AcceleratorKeep keep;
-  private final TeamUse teams;
+final class CapacityReclaimer {
+  private final ClusterCapacity rooms;
+  private final CapacityIndex index;
+  private final AcceleratorReservation keep;
+  private final TeamQuotaTracker teams;
   private final Preemption preemption;
-  private final ExhaustedAsks exhausted = new ExhaustedAsks();
+  private final UnsatisfiableRequests exhausted = new UnsatisfiableRequests();
 
-  RoomMaker(
-      ClusterRooms rooms, RoomIndex index, AcceleratorKeep keep, TeamUse teams, Preemption preemption) {
+  CapacityReclaimer(
+      ClusterCapacity rooms,
+      CapacityIndex index,
+      AcceleratorReservation keep,
+      TeamQuotaTracker teams,
+      Preemption preemption) {
     this.rooms = rooms;
     this.index = index;
     this.keep = keep;
@@ -45,15 +49,15 @@
   int makeRoom(
       JobState job, int tasks, Object2IntOpenHashMap<String> zones, boolean mayPreempt) {
     JobSpec spec = job.record().spec();
-    Ask ask = Ask.of(spec);
+    ResourceRequest ask = ResourceRequest.of(spec);
     boolean owed = teams.guaranteed(job.id());
     if (exhausted.covers(ask, spec, owed, openZones(spec, zones))) {
       return tasks;
     }
     int left = tasks;
-    List<Room> allowed = allowed(job, ask, mayPreempt);
-    for (Room room : allowed) {
-      while (left > 0 && room.fitsSoon(spec) && Zones.allow(spec, zones, room)) {
+    List<MachineCapacity> allowed = allowed(job, ask, mayPreempt);
+    for (MachineCapacity room : allowed) {
+      while (left > 0 && room.fitsSoon(spec) && ZoneConstraints.allow(spec, zones, room)) {
         room.take(spec, 1);
         zones.addTo(room.machine.zone(), 1);
         left--;
@@ -70,11 +74,11 @@
 
   /** Zones that the job allows and in which more copies of it may stand. */
   private List<String> openZones(JobSpec spec, Object2IntOpenHashMap<String> zones) {
-    boolean matter = Zones.matter(spec);
+    boolean matter = ZoneConstraints.matter(spec);
     List<String> open = new ArrayList<>();
     for (String zone : rooms.zones()) {
       boolean allowed = spec.zone() == null || spec.zone().equals(zone);
-      if (allowed && (!matter || Zones.most(spec, zones, zone) > 0)) {
+      if (allowed && (!matter || ZoneConstraints.most(spec, zones, zone) > 0)) {
         open.add(zone);
       }
     }
@@ -82,11 +86,11 @@
   }
 
   /** Rooms that may do, in the order of names. Room that the task was kept out of stays free. */
-  private List<Room> allowed(JobState job, Ask ask, boolean mayPreempt) {
+  private List<MachineCapacity> allowed(JobState job, ResourceRequest ask, boolean mayPreempt) {
     JobSpec spec = job.record().spec();
-    Predicate<Room> mayStandIn = index.allowed(job, ask);
-    List<Room> allowed = new ArrayList<>();
-    for (Room room : mayPreempt ? rooms.all() : withRoomSoon(spec, ask)) {
+    Predicate<MachineCapacity> mayStandIn = index.allowed(job, ask);
+    List<MachineCapacity> allowed = new ArrayList<>();
+    for (MachineCapacity room : mayPreempt ? rooms.all() : withRoomSoon(spec, ask)) {
       if ((mayPreempt || room.fitsSoon(spec))
           && mayStandIn.test(room)
           && !keep.spoils(spec, room)) {
@@ -100,11 +104,11 @@
    * Rooms where it may fit once what leaves is gone; for a gang also those where it fits now, since none of
    * its tasks took any. For others these were looked at already.
    */
-  private Collection<Room> withRoomSoon(JobSpec spec, Ask ask) {
-    if (spec.shape() != Shape.GANG) {
+  private Collection<MachineCapacity> withRoomSoon(JobSpec spec, ResourceRequest ask) {
+    if (spec.shape() != JobKind.GANG) {
       return rooms.leaving().values();
     }
-    TreeMap<String, Room> both = new TreeMap<>(rooms.leaving());
+    TreeMap<String, MachineCapacity> both = new TreeMap<>(rooms.leaving());
     index.fitting(ask).forEach(room -> both.put(room.machine.name(), room));
     return both.values();
   }
--- a/src/main/java/io/tansystack/schedule/ClusterRooms.java
+++ b/src/main/java/io/tansystack/schedule/ClusterCapacity.java
@@ -2,7 +2,7 @@
 
 import io.tansystack.records.JobRecord;
 import io.tansystack.records.Placement;
-import io.tansystack.schedule.RentPlanner.Kind;
+import io.tansystack.schedule.RentPlanner.MachineOffering;
 import io.tansystack.schedule.Snapshot.JobState;
 import io.tansystack.schedule.Snapshot.MachineState;
 import io.tansystack.wire.JobSpec;
@@ -23,22 +23,22 @@
  * what changed: a pass costs what has changed since the last one and not what there is. A pass over
  * rooms that were kept gives the same plan as one over rooms that were made anew.
  */
-public final class ClusterRooms {
+public final class ClusterCapacity {
   /** All rooms, in the order of the machines' names. */
-  private final TreeMap<String, Room> rooms = new TreeMap<>();
+  private final TreeMap<String, MachineCapacity> rooms = new TreeMap<>();
 
-  private final Map<String, Room> index = new HashMap<>();
+  private final Map<String, MachineCapacity> index = new HashMap<>();
 
   /** Rooms in which CPUs are free, and rooms in which something is about to leave. */
-  private final TreeMap<String, Room> free = new TreeMap<>();
+  private final TreeMap<String, MachineCapacity> free = new TreeMap<>();
 
-  private final TreeMap<String, Room> leaving = new TreeMap<>();
+  private final TreeMap<String, MachineCapacity> leaving = new TreeMap<>();
 
   /** What is recorded on each machine, also on those that are not known yet, by arrival of the jobs. */
-  private final Map<String, List<Held>> recorded = new HashMap<>();
+  private final Map<String, List<AllocatedTasks>> recorded = new HashMap<>();
 
-  private final Map<Kind, Integer> kinds = new HashMap<>();
-  private final List<Kind> kindList = new ArrayList<>();
+  private final Map<MachineOffering, Integer> kinds = new HashMap<>();
+  private final List<MachineOffering> kindList = new ArrayList<>();
   private final Set<String> zones = new TreeSet<>();
   private final Map<Integer, Integer> machinesOfKind = new TreeMap<>();
   private final Map<Integer, MachineType> typeOfKind = new HashMap<>();
@@ -47,14 +47,14 @@
   private final Set<String> stale = new HashSet<>();
 
   /** Rooms that the pass under way, or the last one, has changed; one for each change. */
-  private final List<Room> changes = new ArrayList<>();
+  private final List<MachineCapacity> changes = new ArrayList<>();
 
-  private final TeamSums teams = new TeamSums();
+  private final RecordedTeamUsage teams = new RecordedTeamUsage();
   private int replicasLeaving;
 
   /** Rooms of a cluster of which nothing was kept. */
-  public static ClusterRooms of(Collection<MachineState> machines, Collection<JobState> jobs) {
-    ClusterRooms rooms = new ClusterRooms();
+  public static ClusterCapacity of(Collection<MachineState> machines, Collection<JobState> jobs) {
+    ClusterCapacity rooms = new ClusterCapacity();
     machines.forEach(rooms::machine);
     jobs.forEach(job -> rooms.job(null, job.record()));
     return rooms;
@@ -62,14 +62,14 @@
 
   /** A machine is there, or is other than it was. */
   public void machine(MachineState state) {
-    Room room = index.get(state.name());
-    int kind = kind(new Kind(state.type().name(), state.zone(), state.spot()));
+    MachineCapacity room = index.get(state.name());
+    int kind = kind(new MachineOffering(state.type().name(), state.zone(), state.spot()));
     if (room != null && (room.kind != kind || !room.machine.type().equals(state.type()))) {
       remove(state.name());
       room = null;
     }
     if (room == null) {
-      room = new Room(state, kind, changes);
+      room = new MachineCapacity(state, kind, changes);
       rooms.put(state.name(), room);
       index.put(state.name(), room);
       machinesOfKind.merge(kind, 1, Integer::sum);
@@ -81,7 +81,7 @@
 
   /** The machine is gone, or nothing is known of it any more. */
   public void remove(String name) {
-    Room room = index.remove(name);
+    MachineCapacity room = index.remove(name);
     if (room != null) {
       rooms.remove(name);
       free.remove(name);
@@ -90,7 +90,7 @@
     }
   }
 
-  private int kind(Kind kind) {
+  private int kind(MachineOffering kind) {
     Integer known = kinds.get(kind);
     if (known == null) {
       known = kindList.size();
@@ -112,7 +112,7 @@
       replicasLeaving -= leavingReplicas(before);
     }
     if (after != null && after.spec() != null) {
-      after.placements().forEach(placement -> add(Held.of(after, placement)));
+      after.placements().forEach(placement -> add(AllocatedTasks.of(after, placement)));
       teams.add(after);
       replicasLeaving += leavingReplicas(after);
     }
@@ -121,7 +121,7 @@
   private static int leavingReplicas(JobRecord record) {
     int leaving = 0;
     for (Placement placement : record.placements()) {
-      Held held = Held.of(record, placement);
+      AllocatedTasks held = AllocatedTasks.of(record, placement);
       leaving += held.active() && held.isService() && held.leaves() ? held.tasks() : 0;
     }
     return leaving;
@@ -130,7 +130,7 @@
   private void forget(JobRecord record) {
     String id = record.spec().id();
     for (Placement placement : record.placements()) {
-      List<Held> on = recorded.get(placement.machine());
+      List<AllocatedTasks> on = recorded.get(placement.machine());
       if (on == null) {
         continue; // Another placement of the job was there too.
       }
@@ -142,9 +142,9 @@
     }
   }
 
-  private void add(Held held) {
+  private void add(AllocatedTasks held) {
     String machine = held.placement().machine();
-    List<Held> on = recorded.computeIfAbsent(machine, k -> new ArrayList<>(4));
+    List<AllocatedTasks> on = recorded.computeIfAbsent(machine, k -> new ArrayList<>(4));
     int at = on.size();
     while (at > 0 && arrivedLater(on.get(at - 1), held)) {
       at--;
@@ -153,7 +153,7 @@
     stale.add(machine);
   }
 
-  private static boolean arrivedLater(Held one, Held other) {
+  private static boolean arrivedLater(AllocatedTasks one, AllocatedTasks other) {
     return one.submittedMs() != other.submittedMs()
         ? one.submittedMs() > other.submittedMs()
         : one.job().compareTo(other.job()) > 0;
@@ -179,12 +179,12 @@
 
   /** Before a pass: what the last one took is given back, and what changed since is taken in. */
   void beginPass() {
-    for (Room room : changes) {
+    for (MachineCapacity room : changes) {
       stale.add(room.machine.name());
     }
     changes.clear();
     for (String name : stale) {
-      Room room = index.get(name);
+      MachineCapacity room = index.get(name);
       if (room != null) {
         room.reset(room.machine, recorded.getOrDefault(name, List.of()));
         keep(free, room, room.hasFreeCpus());
@@ -194,7 +194,7 @@
     stale.clear();
   }
 
-  private static void keep(Map<String, Room> map, Room room, boolean in) {
+  private static void keep(Map<String, MachineCapacity> map, MachineCapacity room, boolean in) {
     if (in) {
       map.put(room.machine.name(), room);
     } else {
@@ -203,7 +203,7 @@
   }
 
   /** Null for a machine that is not known. */
-  Room get(String machine) {
+  MachineCapacity get(String machine) {
     return index.get(machine);
   }
 
@@ -212,22 +212,22 @@
   }
 
   /** In the order of names. */
-  Collection<Room> all() {
+  Collection<MachineCapacity> all() {
     return rooms.values();
   }
 
   /** Rooms in which CPUs were free at the beginning of the pass, in the order of names. */
-  Collection<Room> free() {
+  Collection<MachineCapacity> free() {
     return free.values();
   }
 
   /** Rooms in which something is about to leave; a pass adds what it stops. */
-  Map<String, Room> leaving() {
+  Map<String, MachineCapacity> leaving() {
     return leaving;
   }
 
   /** Rooms that this pass has changed, one for each change, in their order. */
-  List<Room> changes() {
+  List<MachineCapacity> changes() {
     return Collections.unmodifiableList(changes);
   }
 
@@ -236,7 +236,7 @@
     return Collections.unmodifiableSet(zones);
   }
 
-  List<Kind> kinds() {
+  List<MachineOffering> kinds() {
     return Collections.unmodifiableList(kindList);
   }
 
@@ -253,7 +253,7 @@
   int mostOnOne(JobSpec spec) {
     int most = 0;
     for (Map.Entry<Integer, Integer> entry : machinesOfKind.entrySet()) {
-      Kind kind = kindList.get(entry.getKey());
+      MachineOffering kind = kindList.get(entry.getKey());
       if (entry.getValue() > 0 && spec.allows(kind.type(), kind.zone(), kind.spot())) {
         most = Math.max(most, typeOfKind.get(entry.getKey()).capacityFor(spec));
       }
@@ -261,7 +261,7 @@
     return most;
   }
 
-  TeamSums teams() {
+  RecordedTeamUsage teams() {
     return teams;
   }
 
--- a/src/main/java/io/tansystack/schedule/Consolidation.java
+++ b/src/main/java/io/tansystack/schedule/Consolidation.java
@@ -3,9 +3,9 @@
 import io.tansystack.records.Placement;
 import io.tansystack.schedule.Snapshot.JobState;
 import io.tansystack.schedule.Snapshot.MachineState;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -74,7 +74,7 @@
         if (room == null) {
           continue;
         }
-        if (spec.shape() == Shape.SERVICE) {
+        if (spec.shape() == JobKind.SERVICE) {
           room.take(spec, p.tasks().size());
           for (int i = 0; i < p.tasks().size(); i++) {
             room.replicas.add(spec);
--- a/src/main/java/io/tansystack/schedule/Deadlines.java
+++ b/src/main/java/io/tansystack/schedule/Deadlines.java
@@ -2,8 +2,8 @@
 
 import io.tansystack.records.JobRecord;
 import io.tansystack.settings.PlatformSettings.Objective;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Shape;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -40,7 +40,7 @@
    */
   public int missed(JobRecord record, long nowMs) {
     JobSpec spec = record.spec();
-    if (spec.deadlineS() == null || spec.deadlineS() <= 0 || spec.shape() == Shape.SERVICE) {
+    if (spec.deadlineS() == null || spec.deadlineS() <= 0 || spec.shape() == JobKind.SERVICE) {
       return 0;
     }
     double ageS = (nowMs - record.submittedMs()) / 1000.0;
--- a/src/main/java/io/tansystack/schedule/Turns.java
+++ b/src/main/java/io/tansystack/schedule/JobQueueOrder.java
@@ -1,8 +1,8 @@
 package io.tansystack.schedule;
 
 import io.tansystack.schedule.Snapshot.JobState;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Shape;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -18,7 +18,7 @@
  * late one lets all others go first. A large one that has waited for long and has not begun comes before
  * all others of its standing, with a single task, which is as much as a beginning needs.
  */
-final class Turns {
+final class JobQueueOrder {
   private static final double PART = 0.05;
 
   /** An array with a longer handicap is a large one. */
@@ -29,7 +29,7 @@
   private final double cpus;
 
   /** @param cpus of all machines together */
-  Turns(double cpus) {
+  JobQueueOrder(double cpus) {
     this.cpus = Math.max(1, cpus * PART);
   }
 
@@ -53,7 +53,7 @@
 
   private double handicapMs(JobState job) {
     JobSpec spec = job.record().spec();
-    if (spec.shape() != Shape.ARRAY) {
+    if (spec.shape() != JobKind.ARRAY) {
       return 0;
     }
     int left = spec.tasks() - job.record().done().size();
--- a/src/main/java/io/tansystack/schedule/Room.java
+++ b/src/main/java/io/tansystack/schedule/MachineCapacity.java
@@ -14,19 +14,19 @@
  * A machine's room and what stands on it. It is kept from pass to pass: a pass takes room of it for
  * what it plans, and {@link #reset} brings it back to what is recorded.
  */
-final class Room {
+final class MachineCapacity {
   static final double EPS = 1e-6;
 
   /** The least wanted first: lower priority, then what came last, then what was started last. */
-  private static final Comparator<Held> LEAST_WANTED =
-      Comparator.comparingInt((Held h) -> -h.priority().ordinal())
+  private static final Comparator<AllocatedTasks> LEAST_WANTED =
+      Comparator.comparingInt((AllocatedTasks h) -> -h.priority().ordinal())
           .thenComparingLong(h -> -h.submittedMs())
           .thenComparingLong(h -> -h.placement().attempt());
 
-  /** Number of the machine's kind in the {@link ClusterRooms} that keep it. */
+  /** Number of the machine's kind in the {@link ClusterCapacity} that keep it. */
   final int kind;
 
-  private final List<Room> changes;
+  private final List<MachineCapacity> changes;
   MachineState machine;
   double cpus;
   double gpus;
@@ -39,7 +39,7 @@
   double soonMem;
   private double queuedGb;
   private Set<String> coming;
-  private final List<Held> held = new ArrayList<>(16);
+  private final List<AllocatedTasks> held = new ArrayList<>(16);
   private boolean sorted = true;
   private int replicas;
 
@@ -47,19 +47,19 @@
   private final double[] heldBy = new double[3 * Priority.values().length];
 
   /** A machine that nothing stands on, and that nobody keeps. */
-  Room(MachineState machine) {
+  MachineCapacity(MachineState machine) {
     this(machine, 0, new ArrayList<>());
   }
 
   /** @param changes told of the room each time that a pass changes it */
-  Room(MachineState machine, int kind, List<Room> changes) {
+  MachineCapacity(MachineState machine, int kind, List<MachineCapacity> changes) {
     this.kind = kind;
     this.changes = changes;
     reset(machine, List.of());
   }
 
   /** Forgets what was planned: this is the machine, and this is recorded on it. */
-  void reset(MachineState state, List<Held> recorded) {
+  void reset(MachineState state, List<AllocatedTasks> recorded) {
     machine = state;
     cpus = state.type().cpus();
     gpus = state.type().gpus();
@@ -73,7 +73,7 @@
     sorted = true;
     replicas = 0;
     Arrays.fill(heldBy, 0);
-    for (Held tasks : recorded) {
+    for (AllocatedTasks tasks : recorded) {
       subtract(tasks.spec(), tasks.tasks());
       if (tasks.leaves()) {
         addSoon(tasks.spec(), tasks.tasks());
@@ -99,7 +99,7 @@
     return count(s, cpus, gpus, mem);
   }
 
-  int fits(Ask ask) {
+  int fits(ResourceRequest ask) {
     return count(ask.cpus(), ask.gpus(), ask.memGb(), cpus, gpus, mem);
   }
 
@@ -108,7 +108,7 @@
     return s.cpus() <= cpus + EPS && s.gpus() <= gpus + EPS && s.memGb() <= mem + EPS && sound();
   }
 
-  boolean fitsOne(Ask ask) {
+  boolean fitsOne(ResourceRequest ask) {
     return ask.cpus() <= cpus + EPS
         && ask.gpus() <= gpus + EPS
         && ask.memGb() <= mem + EPS
@@ -195,20 +195,20 @@
     return Math.rint((fetch + spec.estimateS() * machine.slowness()) * 10) / 10;
   }
 
-  void hold(Held tasks) {
+  void hold(AllocatedTasks tasks) {
     held.add(tasks);
     sorted = false;
     addHeld(tasks, tasks.tasks());
     changes.add(this);
   }
 
-  void release(Held tasks) {
+  void release(AllocatedTasks tasks) {
     held.remove(tasks);
     addHeld(tasks, -tasks.tasks());
     changes.add(this);
   }
 
-  private void addHeld(Held tasks, int n) {
+  private void addHeld(AllocatedTasks tasks, int n) {
     JobSpec spec = tasks.spec();
     replicas += tasks.isService() ? n : 0;
     int at = 3 * spec.priority().ordinal();
@@ -218,7 +218,7 @@
   }
 
   /** What could be stopped here, the least wanted first. */
-  List<Held> held() {
+  List<AllocatedTasks> held() {
     if (!sorted) {
       held.sort(LEAST_WANTED);
       sorted = true;
--- a/src/main/java/io/tansystack/schedule/MachineHistory.java
+++ b/src/main/java/io/tansystack/schedule/MachineHistory.java
@@ -1,11 +1,11 @@
 package io.tansystack.schedule;
 
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.TaskId;
 import io.tansystack.wire.Report;
-import io.tansystack.wire.TaskReport;
+import io.tansystack.wire.TaskId;
 import io.tansystack.wire.TaskReport.Cause;
 import io.tansystack.wire.TaskReport.State;
+import io.tansystack.wire.TaskReport;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/io/tansystack/schedule/Plan.java
+++ b/src/main/java/io/tansystack/schedule/Plan.java
@@ -15,15 +15,17 @@
  * @param unmet jobs with tasks that found no room, in planning order
  */
 public record Plan(
-    Map<String, List<Assignment>> placements, Map<String, List<Stop>> stops, List<Unmet> unmet) {
+    Map<String, List<Assignment>> placements,
+    Map<String, List<Eviction>> stops,
+    List<UnmetDemand> unmet) {
 
   /** Tasks of a job to be stopped on a machine. */
-  public record Stop(String machine, TaskSet tasks, String forJob) {
+  public record Eviction(String machine, TaskSet tasks, String forJob) {
     private static final String MOVE = "a move to ";
 
     /** A replica that is to come back on another machine. */
-    static Stop move(String from, TaskSet tasks, String to) {
-      return new Stop(from, tasks, MOVE + to);
+    static Eviction move(String from, TaskSet tasks, String to) {
+      return new Eviction(from, tasks, MOVE + to);
     }
 
     public boolean isMove() {
@@ -37,6 +39,6 @@
    * @param zones where the job's other tasks are, or have room, of a job for which zones matter: a machine
    *     for these tasks is of use only in a zone that goes with those
    */
-  public record Unmet(
+  public record UnmetDemand(
       String job, JobSpec spec, int tasks, boolean guaranteed, Map<String, Integer> zones) {}
 }
--- a/src/main/java/io/tansystack/schedule/Planner.java
+++ b/src/main/java/io/tansystack/schedule/Planner.java
@@ -1,14 +1,14 @@
 package io.tansystack.schedule;
 
-import io.tansystack.records.JobRecord;
 import io.tansystack.records.JobRecord.Assignment;
-import io.tansystack.records.RecordLimit;
+import io.tansystack.records.JobRecord;
+import io.tansystack.records.RecordSizeLimit;
 import io.tansystack.records.TaskSet;
-import io.tansystack.schedule.Plan.Unmet;
+import io.tansystack.schedule.Plan.UnmetDemand;
 import io.tansystack.schedule.Snapshot.JobState;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -32,44 +32,44 @@
    * @param jobs so many jobs of production are planned for, and half as many others; what could be written
    *     only much later is planned anew by then, and of jobs behind these it is only told what room they lack
    */
-  public record Bounds(RecordLimit record, int machines, int jobs) {}
+  public record Bounds(RecordSizeLimit record, int machines, int jobs) {}
 
   private final Snapshot snapshot;
   private final Bounds bounds;
-  private final ClusterRooms rooms;
-  private final TeamUse teams;
-  private final AcceleratorKeep keep;
-  private final Candidates candidates;
+  private final ClusterCapacity rooms;
+  private final TeamQuotaTracker teams;
+  private final AcceleratorReservation keep;
+  private final CandidateSelector candidates;
   private final TaskPlacer placer;
-  private final RoomMaker roomMaker;
-  private final Turns turns;
+  private final CapacityReclaimer roomMaker;
+  private final JobQueueOrder turns;
   private int plannedOfProduction;
   private int plannedOthers;
   private final Plan plan =
       new Plan(new LinkedHashMap<>(), new LinkedHashMap<>(), new ArrayList<>());
 
-  private Planner(Snapshot snapshot, ClusterRooms rooms, Bounds bounds) {
+  private Planner(Snapshot snapshot, ClusterCapacity rooms, Bounds bounds) {
     this.snapshot = snapshot;
     this.bounds = bounds;
     this.rooms = rooms;
     rooms.beginPass();
-    this.teams = new TeamUse(snapshot.teams(), rooms.teams());
-    this.keep = new AcceleratorKeep(rooms, snapshot.booting());
-    RoomIndex index = new RoomIndex(rooms);
-    this.candidates = new Candidates(rooms, index, keep);
+    this.teams = new TeamQuotaTracker(snapshot.teams(), rooms.teams());
+    this.keep = new AcceleratorReservation(rooms, snapshot.booting());
+    CapacityIndex index = new CapacityIndex(rooms);
+    this.candidates = new CandidateSelector(rooms, index, keep);
     this.placer = new TaskPlacer(rooms, index, keep, candidates, bounds.record, bounds.machines);
     Preemption preemption = new Preemption(teams, plan, rooms.leaving());
-    this.roomMaker = new RoomMaker(rooms, index, keep, teams, preemption);
-    this.turns = new Turns(rooms.cpus());
+    this.roomMaker = new CapacityReclaimer(rooms, index, keep, teams, preemption);
+    this.turns = new JobQueueOrder(rooms.cpus());
   }
 
   /** Plans for the snapshot's jobs over rooms that were made anew. */
   public static Plan plan(Snapshot snapshot, Bounds bounds) {
-    return plan(snapshot, ClusterRooms.of(snapshot.machines(), snapshot.jobs()), bounds);
+    return plan(snapshot, ClusterCapacity.of(snapshot.machines(), snapshot.jobs()), bounds);
   }
 
   /** Plans over rooms that hold the records of all the snapshot's jobs. */
-  public static Plan plan(Snapshot snapshot, ClusterRooms rooms, Bounds bounds) {
+  public static Plan plan(Snapshot snapshot, ClusterCapacity rooms, Bounds bounds) {
     return new Planner(snapshot, rooms, bounds).run();
   }
 
@@ -121,15 +121,15 @@
   private void place(JobState job) {
     JobRecord record = job.record();
     JobSpec spec = record.spec();
-    if (!job.waiting() || (spec.shape() == Shape.GANG && !record.placements().isEmpty())) {
+    if (!job.waiting() || (spec.shape() == JobKind.GANG && !record.placements().isEmpty())) {
       return; // A gang's next attempt starts only when all of the last is proven over.
     }
     int wanted = unplacedCount(record);
     int allowed = teams.allowance(spec);
-    if (wanted == 0 || allowed == 0 || (spec.shape() == Shape.GANG && allowed < wanted)) {
+    if (wanted == 0 || allowed == 0 || (spec.shape() == JobKind.GANG && allowed < wanted)) {
       return; // It waits for its team, not for a machine.
     }
-    if (job.suspected() && spec.shape() != Shape.GANG) {
+    if (job.suspected() && spec.shape() != JobKind.GANG) {
       allowed = record.placements().isEmpty() ? 1 : 0;
     }
     int most = Math.min(allowed, wanted);
@@ -169,7 +169,7 @@
       plan.placements().put(job.id(), round);
     }
     // What a round could not name follows with the next one; no room is lacking for it.
-    boolean cut = spec.shape() != Shape.GANG && chosen.size() >= placer.machinesAtOnce(job);
+    boolean cut = spec.shape() != JobKind.GANG && chosen.size() >= placer.machinesAtOnce(job);
     if (!job.suspected() && !cut && placed < most && placer.canBeNamed(job)) {
       lacks(job, tried - placed, most - tried, round);
     }
@@ -178,7 +178,7 @@
   /** How many tasks {@link #unplaced} names; a task is either done, or in one placement, or unplaced. */
   private int unplacedCount(JobRecord record) {
     boolean windowed =
-        record.spec().shape() == Shape.ARRAY && record.spec().tasks() > bounds.record.window();
+        record.spec().shape() == JobKind.ARRAY && record.spec().tasks() > bounds.record.window();
     return windowed
         ? unplaced(record).cardinality()
         : record.spec().tasks() - record.placedCount() - record.done().size();
@@ -186,7 +186,7 @@
 
   private BitSet unplaced(JobRecord record) {
     BitSet unplaced = record.unplaced().toBits();
-    if (record.spec().shape() == Shape.ARRAY) {
+    if (record.spec().shape() == JobKind.ARRAY) {
       int end = record.done().firstMissing() + bounds.record.window();
       unplaced.clear(end, Math.max(end, unplaced.length()));
     }
@@ -212,8 +212,8 @@
   private void lacks(JobState job, int tried, int notTried, List<Assignment> round) {
     JobSpec spec = job.record().spec();
     Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
-    if (Zones.matter(spec)) {
-      zones = Zones.of(job.record(), rooms);
+    if (ZoneConstraints.matter(spec)) {
+      zones = ZoneConstraints.of(job.record(), rooms);
       for (Assignment part : round) {
         zones.addTo(rooms.get(part.machine()).machine.zone(), part.tasks().size());
       }
@@ -230,7 +230,7 @@
     if (job.suspected() || !placer.canBeNamed(job)) {
       return;
     }
-    Object2IntOpenHashMap<String> zones = Zones.of(job.record(), rooms);
+    Object2IntOpenHashMap<String> zones = ZoneConstraints.of(job.record(), rooms);
     int left = placer.reserve(job, tasks, zones);
     if (left > 0) {
       left = roomMaker.makeRoom(job, left, zones, false);
@@ -241,8 +241,8 @@
   private void unmet(JobState job, int tasks, Object2IntOpenHashMap<String> zones) {
     if (tasks > 0) {
       JobSpec spec = job.record().spec();
-      Map<String, Integer> others = Zones.matter(spec) ? Map.copyOf(zones) : Map.of();
-      plan.unmet().add(new Unmet(job.id(), spec, tasks, teams.guaranteed(job.id()), others));
+      Map<String, Integer> others = ZoneConstraints.matter(spec) ? Map.copyOf(zones) : Map.of();
+      plan.unmet().add(new UnmetDemand(job.id(), spec, tasks, teams.guaranteed(job.id()), others));
     }
   }
 }
--- a/src/main/java/io/tansystack/schedule/Preemption.java
+++ b/src/main/java/io/tansystack/schedule/Preemption.java
@@ -2,7 +2,7 @@
 
 import io.tansystack.records.Placement;
 import io.tansystack.records.TaskSet;
-import io.tansystack.schedule.Plan.Stop;
+import io.tansystack.schedule.Plan.Eviction;
 import io.tansystack.schedule.Snapshot.JobState;
 import io.tansystack.wire.JobSpec;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
@@ -17,20 +17,20 @@
 final class Preemption {
   private static final int ENOUGH = 24;
 
-  private record Victim(Held held, int tasks) {}
+  private record Victim(AllocatedTasks held, int tasks) {}
 
   /** The least that has to be stopped on a machine for one more task. */
-  private record Offer(Room room, List<Victim> victims, double loss, int order) {}
+  private record Offer(MachineCapacity room, List<Victim> victims, double loss, int order) {}
 
-  private final TeamUse teams;
+  private final TeamQuotaTracker teams;
   private final Plan plan;
-  private final Map<String, Room> leaving;
+  private final Map<String, MachineCapacity> leaving;
 
   /** Whether the last call looked at all machines that it was given. */
   private boolean lookedAtAll;
 
   /** @param leaving rooms in which something is about to leave, by machine; those of victims are added */
-  Preemption(TeamUse teams, Plan plan, Map<String, Room> leaving) {
+  Preemption(TeamQuotaTracker teams, Plan plan, Map<String, MachineCapacity> leaving) {
     this.teams = teams;
     this.plan = plan;
     this.leaving = leaving;
@@ -49,7 +49,8 @@
    * judged once, and again only after something was stopped on it; where there are many to choose
    * from, not all are looked at. Returns how many tasks are left.
    */
-  int stopFor(JobState job, int left, List<Room> rooms, Object2IntOpenHashMap<String> zones) {
+  int stopFor(
+      JobState job, int left, List<MachineCapacity> rooms, Object2IntOpenHashMap<String> zones) {
     JobSpec spec = job.record().spec();
     boolean owed = teams.guaranteed(job.id());
     PriorityQueue<Offer> offers =
@@ -64,7 +65,7 @@
     lookedAtAll = i == rooms.size();
     while (left > 0 && !offers.isEmpty()) {
       Offer best = offers.poll();
-      if (!Zones.allow(spec, zones, best.room)) {
+      if (!ZoneConstraints.allow(spec, zones, best.room)) {
         continue; // And it stays so: copies in a zone only grow in number during a pass.
       }
       for (Victim victim : best.victims) {
@@ -78,7 +79,7 @@
     return left;
   }
 
-  private void offer(JobState job, Room room, int order, PriorityQueue<Offer> offers) {
+  private void offer(JobState job, MachineCapacity room, int order, PriorityQueue<Offer> offers) {
     List<Victim> victims = victims(job, room);
     if (victims != null) {
       offers.add(new Offer(room, victims, loss(victims), order));
@@ -97,19 +98,19 @@
   }
 
   /** The least wanted tasks on the machine whose end makes room for one task, or null. */
-  private List<Victim> victims(JobState job, Room room) {
+  private List<Victim> victims(JobState job, MachineCapacity room) {
     JobSpec spec = job.record().spec();
     double cpus = room.cpus + room.soonCpus;
     double gpus = room.gpus + room.soonGpus;
     double mem = room.mem + room.soonMem;
     List<Victim> victims = new ArrayList<>();
-    for (Held held : room.held()) {
+    for (AllocatedTasks held : room.held()) {
       if (!preemptible(job, held)) {
         continue;
       }
       JobSpec s = held.spec();
       int n = 0;
-      while (n < held.tasks() && Room.count(spec, cpus, gpus, mem) == 0) {
+      while (n < held.tasks() && MachineCapacity.count(spec, cpus, gpus, mem) == 0) {
         cpus += s.cpus();
         gpus += s.gpus();
         mem += s.memGb();
@@ -118,7 +119,7 @@
       if (n > 0) {
         victims.add(new Victim(held, n));
       }
-      if (Room.count(spec, cpus, gpus, mem) > 0) {
+      if (MachineCapacity.count(spec, cpus, gpus, mem) > 0) {
         return victims;
       }
     }
@@ -126,7 +127,7 @@
   }
 
   /** Lower priority, or another team's work beyond its guarantee for one that is owed its own. */
-  private boolean preemptible(JobState job, Held victim) {
+  private boolean preemptible(JobState job, AllocatedTasks victim) {
     JobSpec spec = job.record().spec();
     JobSpec other = victim.spec();
     if (spec.gpus() <= 0 && other.gpus() > 0) {
@@ -135,7 +136,7 @@
     return other.priority().ordinal() > spec.priority().ordinal() || teams.owed(job, victim);
   }
 
-  private void stop(Room room, Victim victim, JobState forJob) {
+  private void stop(MachineCapacity room, Victim victim, JobState forJob) {
     Placement p = victim.held.placement();
     BitSet rest = p.tasks().toBits();
     BitSet tasks = new BitSet();
@@ -147,7 +148,7 @@
     }
     plan.stops()
         .computeIfAbsent(victim.held.job(), k -> new ArrayList<>())
-        .add(new Stop(room.machine.name(), TaskSet.of(tasks), forJob.id()));
+        .add(new Eviction(room.machine.name(), TaskSet.of(tasks), forJob.id()));
     room.release(victim.held);
     if (!rest.isEmpty()) {
       room.hold(victim.held.withPlacement(p.withTasks(TaskSet.of(rest))));
--- a/src/main/java/io/tansystack/schedule/TeamSums.java
+++ b/src/main/java/io/tansystack/schedule/RecordedTeamUsage.java
@@ -9,7 +9,7 @@
  * What the teams' recorded tasks use. Amounts are kept in whole millionths, so that adding and taking
  * away leaves no remainder and the order does not matter.
  */
-final class TeamSums {
+final class RecordedTeamUsage {
   private static final double MILLION = 1e6;
 
   private static final class Sum {
--- a/src/main/java/io/tansystack/schedule/RentPlanner.java
+++ b/src/main/java/io/tansystack/schedule/RentPlanner.java
@@ -1,10 +1,10 @@
 package io.tansystack.schedule;
 
-import io.tansystack.schedule.Plan.Unmet;
+import io.tansystack.schedule.Plan.UnmetDemand;
 import io.tansystack.settings.OperatorSettings;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
-import io.tansystack.wire.Shape;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -21,15 +21,15 @@
  */
 public final class RentPlanner {
   /** A type in a zone, spot or ordinary. */
-  public record Kind(String type, String zone, boolean spot) {}
+  public record MachineOffering(String type, String zone, boolean spot) {}
 
   private static final class Bin {
-    final Kind kind;
+    final MachineOffering kind;
     double cpus;
     double gpus;
     double mem;
 
-    Bin(Kind kind, MachineType type) {
+    Bin(MachineOffering kind, MachineType type) {
       this.kind = kind;
       cpus = type.cpus();
       gpus = type.gpus();
@@ -54,13 +54,15 @@
   }
 
   private final Map<String, MachineType> types;
-  private final Predicate<Kind> blocked;
+  private final Predicate<MachineOffering> blocked;
   private final OperatorSettings settings;
   private final Map<String, List<Bin>> bins = new TreeMap<>();
-  private final Map<Kind, Integer> rent = new LinkedHashMap<>();
+  private final Map<MachineOffering, Integer> rent = new LinkedHashMap<>();
 
   private RentPlanner(
-      Map<String, MachineType> types, Predicate<Kind> blocked, OperatorSettings settings) {
+      Map<String, MachineType> types,
+      Predicate<MachineOffering> blocked,
+      OperatorSettings settings) {
     this.types = types;
     this.blocked = blocked;
     this.settings = settings;
@@ -70,14 +72,14 @@
    * @param coming machines rented and not yet of use
    * @param blocked kinds that were lately refused
    */
-  public static Map<Kind, Integer> decide(
-      List<Unmet> unmet,
-      List<Kind> coming,
+  public static Map<MachineOffering, Integer> decide(
+      List<UnmetDemand> unmet,
+      List<MachineOffering> coming,
       Map<String, MachineType> types,
-      Predicate<Kind> blocked,
+      Predicate<MachineOffering> blocked,
       OperatorSettings settings) {
     RentPlanner planner = new RentPlanner(types, blocked, settings);
-    for (Kind kind : coming) {
+    for (MachineOffering kind : coming) {
       MachineType type = types.get(kind.type());
       if (type != null) {
         planner.open(new Bin(kind, type));
@@ -87,9 +89,9 @@
     return planner.rent;
   }
 
-  private void rentFor(Unmet need) {
+  private void rentFor(UnmetDemand need) {
     JobSpec spec = need.spec();
-    if (rentFor(spec, need.tasks(), need.zones()) || spec.shape() != Shape.GANG) {
+    if (rentFor(spec, need.tasks(), need.zones()) || spec.shape() != JobKind.GANG) {
       return;
     }
     // Nothing of it stands yet: where there is no more to be had beside what has room, it may gather elsewhere.
@@ -125,7 +127,7 @@
     while (taken.size() < tasks) {
       Bin bin = firstFitting(spec, zones, next);
       if (bin == null) {
-        Kind kind = cheapest(spec, tasks - taken.size(), zones);
+        MachineOffering kind = cheapest(spec, tasks - taken.size(), zones);
         if (kind == null) {
           break;
         }
@@ -138,7 +140,7 @@
       zones.merge(bin.kind.zone(), 1, Integer::sum);
     }
     boolean all = taken.size() == tasks;
-    if (all || spec.shape() != Shape.GANG) {
+    if (all || spec.shape() != JobKind.GANG) {
       rented.forEach(bin -> rent.merge(bin.kind, 1, Integer::sum));
     } else {
       taken.forEach(bin -> bin.leave(spec));
@@ -171,7 +173,7 @@
     return null;
   }
 
-  private static boolean allowed(JobSpec spec, Kind kind, Map<String, Integer> zones) {
+  private static boolean allowed(JobSpec spec, MachineOffering kind, Map<String, Integer> zones) {
     return spec.allows(kind.type(), kind.zone(), kind.spot())
         && zoneAllowed(spec, kind.zone(), zones);
   }
@@ -181,7 +183,7 @@
         && !(spec.sameZone() && !zones.isEmpty() && !zones.containsKey(zone));
   }
 
-  private Kind cheapest(JobSpec spec, int tasks, Map<String, Integer> zones) {
+  private MachineOffering cheapest(JobSpec spec, int tasks, Map<String, Integer> zones) {
     double lowest = Double.MAX_VALUE;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name()) && type.capacityFor(spec) > 0) {
@@ -189,7 +191,7 @@
         lowest = Math.min(lowest, price / type.capacityFor(spec));
       }
     }
-    Kind best = null;
+    MachineOffering best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : types.values()) {
       int capacity = type.capacityFor(spec);
@@ -198,7 +200,7 @@
       }
       for (String zone : type.zones()) {
         for (boolean spot : spec.spotOk() ? new boolean[] {true, false} : new boolean[] {false}) {
-          Kind kind = new Kind(type.name(), zone, spot);
+          MachineOffering kind = new MachineOffering(type.name(), zone, spot);
           if (!allowed(spec, kind, zones) || blocked.test(kind)) {
             continue;
           }
--- a/src/main/java/io/tansystack/schedule/ReplicaMoves.java
+++ b/src/main/java/io/tansystack/schedule/ReplicaMoves.java
@@ -3,12 +3,12 @@
 import io.tansystack.records.JobRecord;
 import io.tansystack.records.Placement;
 import io.tansystack.records.TaskSet;
-import io.tansystack.schedule.Plan.Stop;
-import io.tansystack.schedule.Plan.Unmet;
+import io.tansystack.schedule.Plan.Eviction;
+import io.tansystack.schedule.Plan.UnmetDemand;
 import io.tansystack.schedule.Snapshot.JobState;
 import io.tansystack.schedule.Snapshot.MachineState;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Shape;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -30,20 +30,20 @@
   private static final int MACHINES_A_MOVE = 25;
 
   /** Where a job's tasks could go, best first. */
-  interface Candidates {
-    List<Room> of(JobState job);
+  interface TargetFinder {
+    List<MachineCapacity> of(JobState job);
   }
 
-  private final ClusterRooms rooms;
-  private final AcceleratorKeep keep;
+  private final ClusterCapacity rooms;
+  private final AcceleratorReservation keep;
   private final Plan plan;
-  private final Candidates candidates;
+  private final TargetFinder candidates;
   private final Map<String, JobState> jobs = new HashMap<>();
-  private final Set<Room> clearing = new HashSet<>();
+  private final Set<MachineCapacity> clearing = new HashSet<>();
   private final int maxMoving;
 
   ReplicaMoves(
-      ClusterRooms rooms, AcceleratorKeep keep, Plan plan, Candidates candidates) {
+      ClusterCapacity rooms, AcceleratorReservation keep, Plan plan, TargetFinder candidates) {
     this.rooms = rooms;
     this.keep = keep;
     this.plan = plan;
@@ -56,17 +56,17 @@
     if (moving >= maxMoving) {
       return;
     }
-    List<Room> toEmpty = toEmpty();
+    List<MachineCapacity> toEmpty = toEmpty();
     if (toEmpty.isEmpty()) {
       return;
     }
     for (JobState job : active) {
-      if (job.record().spec().shape() == Shape.SERVICE) {
+      if (job.record().spec().shape() == JobKind.SERVICE) {
         jobs.put(job.id(), job);
       }
     }
-    for (Room from : toEmpty) {
-      for (Held held : List.copyOf(from.held())) {
+    for (MachineCapacity from : toEmpty) {
+      for (AllocatedTasks held : List.copyOf(from.held())) {
         JobState job = jobs.get(held.job());
         if (job != null && movable(job) && move(job, held, from) && ++moving >= maxMoving) {
           return;
@@ -75,24 +75,24 @@
     }
   }
 
-  private List<Room> toEmpty() {
-    List<Room> result = new ArrayList<>();
-    for (Room room : rooms.all()) {
+  private List<MachineCapacity> toEmpty() {
+    List<MachineCapacity> result = new ArrayList<>();
+    for (MachineCapacity room : rooms.all()) {
       if (room.machine.drain()) {
         result.add(room);
       }
     }
-    Set<Ask> hopeless = new HashSet<>();
-    for (Unmet need : plan.unmet()) {
+    Set<ResourceRequest> hopeless = new HashSet<>();
+    for (UnmetDemand need : plan.unmet()) {
       // No more replicas move at a time than one machine holds, as a rule.
       if (clearing.size() >= maxMoving || need.spec().gpus() <= 0) {
         continue;
       }
-      Ask ask = Ask.of(need.spec());
+      ResourceRequest ask = ResourceRequest.of(need.spec());
       if (hopeless.contains(ask)) {
         continue;
       }
-      Room best = clearable(need.spec());
+      MachineCapacity best = clearable(need.spec());
       if (best == null) {
         hopeless.add(ask);
       } else {
@@ -114,10 +114,10 @@
   }
 
   /** The machine on which the fewest replicas stand in the way of the job. */
-  private Room clearable(JobSpec need) {
-    Room best = null;
+  private MachineCapacity clearable(JobSpec need) {
+    MachineCapacity best = null;
     int fewest = Integer.MAX_VALUE;
-    for (Room room : rooms.all()) {
+    for (MachineCapacity room : rooms.all()) {
       MachineState m = room.machine;
       if (!room.holdsReplicas()
           || !m.open()
@@ -129,7 +129,7 @@
       double gpus = room.gpus + room.soonGpus;
       double mem = room.mem + room.soonMem;
       int replicas = 0;
-      for (Held held : room.held()) {
+      for (AllocatedTasks held : room.held()) {
         JobSpec s = held.spec();
         int n = held.tasks();
         if (held.isService() && s.gpus() <= 0) {
@@ -138,7 +138,7 @@
           replicas += n;
         }
       }
-      if (Room.count(need, cpus, gpus, mem) > 0 && replicas > 0 && replicas < fewest) {
+      if (MachineCapacity.count(need, cpus, gpus, mem) > 0 && replicas > 0 && replicas < fewest) {
         best = room;
         fewest = replicas;
       }
@@ -146,11 +146,11 @@
     return best;
   }
 
-  private boolean move(JobState job, Held held, Room from) {
+  private boolean move(JobState job, AllocatedTasks held, MachineCapacity from) {
     JobSpec spec = job.record().spec();
-    Object2IntOpenHashMap<String> zones = Zones.of(job.record(), rooms);
+    Object2IntOpenHashMap<String> zones = ZoneConstraints.of(job.record(), rooms);
     zones.addTo(from.machine.zone(), -1);
-    for (Room to : candidates.of(job)) {
+    for (MachineCapacity to : candidates.of(job)) {
       if (to != from
           && !clearing.contains(to)
           && !keep.spoils(spec, to)
@@ -159,7 +159,7 @@
         plan.stops()
             .computeIfAbsent(job.id(), k -> new ArrayList<>())
             .add(
-                Stop.move(
+                Eviction.move(
                     from.machine.name(),
                     TaskSet.EMPTY.with(held.placement().tasks().next(0)),
                     to.machine.name()));
--- a/src/main/java/io/tansystack/schedule/Ask.java
+++ b/src/main/java/io/tansystack/schedule/ResourceRequest.java
@@ -8,11 +8,11 @@
  * What a task asks of a machine. Jobs that ask the same are judged once in a pass, and what found no
  * room need not be tried again for a job that asks for more.
  */
-record Ask(
+record ResourceRequest(
     double cpus, double gpus, double memGb, List<String> types, String zone, boolean spotOk) {
 
-  static Ask of(JobSpec spec) {
-    return new Ask(
+  static ResourceRequest of(JobSpec spec) {
+    return new ResourceRequest(
         spec.cpus(), spec.gpus(), spec.memGb(), spec.types(), spec.zone(), spec.spotOk());
   }
 
@@ -21,7 +21,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof Ask ask
+    return other instanceof ResourceRequest ask
         && cpus == ask.cpus
         && gpus == ask.gpus
         && memGb == ask.memGb
@@ -44,11 +44,11 @@
 
   /** Whether it fits only where CPUs are free. */
   boolean needsCpus() {
-    return cpus > 2 * Room.EPS;
+    return cpus > 2 * MachineCapacity.EPS;
   }
 
   /** Whether every machine that would do for this would do for the other too. */
-  boolean asksNoLessThan(Ask other) {
+  boolean asksNoLessThan(ResourceRequest other) {
     return cpus >= other.cpus
         && gpus >= other.gpus
         && memGb >= other.memGb
--- a/src/main/java/io/tansystack/schedule/Scored.java
+++ b/src/main/java/io/tansystack/schedule/ScoredCandidate.java
@@ -12,12 +12,18 @@
  * @param slack what is left free of what decides; fuller machines come first
  * @param delivery the predicted time to delivery, in seconds
  */
-record Scored(
-    Room room, int tier, double step, int rank, double price, double slack, double delivery)
-    implements Comparable<Scored> {
+record ScoredCandidate(
+    MachineCapacity room,
+    int tier,
+    double step,
+    int rank,
+    double price,
+    double slack,
+    double delivery)
+    implements Comparable<ScoredCandidate> {
 
   @Override
-  public int compareTo(Scored o) {
+  public int compareTo(ScoredCandidate o) {
     int order = Integer.compare(tier, o.tier);
     order = order != 0 ? order : Double.compare(step, o.step);
     order = order != 0 ? order : Integer.compare(rank, o.rank);
@@ -28,10 +34,10 @@
   }
 
   /** By how many tasks fit, where predictions are equal: for what can name few machines only. */
-  static Comparator<Scored> roomiestFirst(Ask ask) {
-    return Comparator.comparingInt(Scored::tier)
-        .thenComparingDouble(Scored::step)
-        .thenComparingInt(Scored::rank)
+  static Comparator<ScoredCandidate> roomiestFirst(ResourceRequest ask) {
+    return Comparator.comparingInt(ScoredCandidate::tier)
+        .thenComparingDouble(ScoredCandidate::step)
+        .thenComparingInt(ScoredCandidate::rank)
         .thenComparing(s -> -s.room.fits(ask))
         .thenComparing(Comparator.naturalOrder());
   }
--- a/src/main/java/io/tansystack/schedule/TaskPlacer.java
+++ b/src/main/java/io/tansystack/schedule/TaskPlacer.java
@@ -1,9 +1,9 @@
 package io.tansystack.schedule;
 
-import io.tansystack.records.RecordLimit;
+import io.tansystack.records.RecordSizeLimit;
 import io.tansystack.schedule.Snapshot.JobState;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Shape;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -14,20 +14,20 @@
 
 /** Chooses machines for a job's tasks, the least predicted delivery first, and takes their room. */
 final class TaskPlacer {
-  private final ClusterRooms rooms;
-  private final RoomIndex index;
-  private final AcceleratorKeep keep;
-  private final Candidates candidates;
-  private final RecordLimit limit;
+  private final ClusterCapacity rooms;
+  private final CapacityIndex index;
+  private final AcceleratorReservation keep;
+  private final CandidateSelector candidates;
+  private final RecordSizeLimit limit;
   private final int maxMachines;
 
   /** @param maxMachines so many machines can be named by the transaction that records a round */
   TaskPlacer(
-      ClusterRooms rooms,
-      RoomIndex index,
-      AcceleratorKeep keep,
-      Candidates candidates,
-      RecordLimit limit,
+      ClusterCapacity rooms,
+      CapacityIndex index,
+      AcceleratorReservation keep,
+      CandidateSelector candidates,
+      RecordSizeLimit limit,
       int maxMachines) {
     this.rooms = rooms;
     this.index = index;
@@ -53,7 +53,7 @@
    */
   boolean canBeNamed(JobState job) {
     JobSpec spec = job.record().spec();
-    if (spec.shape() != Shape.GANG) {
+    if (spec.shape() != JobKind.GANG) {
       return true;
     }
     int each = rooms.mostOnOne(spec);
@@ -63,19 +63,20 @@
 
   /** Whether any machine could take one of the job's tasks. */
   boolean findsRoom(JobState job) {
-    return !index.mayFit(Ask.of(job.record().spec())).isEmpty();
+    return !index.mayFit(ResourceRequest.of(job.record().spec())).isEmpty();
   }
 
   /** Tasks by the machines chosen for them. */
   Map<String, BitSet> place(JobState job, int[] tasks) {
     JobSpec spec = job.record().spec();
-    if (spec.shape() == Shape.GANG) {
+    if (spec.shape() == JobKind.GANG) {
       return placeGang(job, tasks);
     }
-    return Zones.matter(spec) ? placeByZone(job, tasks) : placeEach(job, tasks);
+    return ZoneConstraints.matter(spec) ? placeByZone(job, tasks) : placeEach(job, tasks);
   }
 
-  private static void assign(Map<String, BitSet> chosen, Room room, JobSpec spec, int task) {
+  private static void assign(
+      Map<String, BitSet> chosen, MachineCapacity room, JobSpec spec, int task) {
     room.place(spec);
     chosen.computeIfAbsent(room.machine.name(), k -> new BitSet()).set(task);
   }
@@ -84,9 +85,9 @@
     JobSpec spec = job.record().spec();
     Map<String, BitSet> chosen = new LinkedHashMap<>();
     int most = machinesAtOnce(job);
-    List<Room> found = candidates.best(job, tasks.length, placementsLeft(job), most);
+    List<MachineCapacity> found = candidates.best(job, tasks.length, placementsLeft(job), most);
     int i = 0;
-    for (Room room : found) {
+    for (MachineCapacity room : found) {
       while (i < tasks.length && room.fitsOne(spec)) {
         if (keep.waitsForComing(spec, room)) {
           i++;
@@ -105,14 +106,14 @@
     JobSpec spec = job.record().spec();
     Map<String, BitSet> chosen = new LinkedHashMap<>();
     int most = machinesAtOnce(job);
-    Map<String, List<Room>> byZone = candidates.bestByZone(job, tasks.length);
+    Map<String, List<MachineCapacity>> byZone = candidates.bestByZone(job, tasks.length);
     if (byZone.isEmpty()) {
       return chosen;
     }
-    Object2IntOpenHashMap<String> zones = Zones.of(job.record(), rooms);
+    Object2IntOpenHashMap<String> zones = ZoneConstraints.of(job.record(), rooms);
     Object2IntOpenHashMap<String> next = new Object2IntOpenHashMap<>();
     for (int task : tasks) {
-      Room best = bestZone(spec, byZone, zones, next);
+      MachineCapacity best = bestZone(spec, byZone, zones, next);
       if (best != null && keep.waitsForComing(spec, best)) {
         continue;
       }
@@ -126,16 +127,16 @@
   }
 
   /** Zones come best first; one with fewer copies goes before a better prediction. */
-  private static Room bestZone(
+  private static MachineCapacity bestZone(
       JobSpec spec,
-      Map<String, List<Room>> byZone,
+      Map<String, List<MachineCapacity>> byZone,
       Object2IntOpenHashMap<String> zones,
       Object2IntOpenHashMap<String> next) {
-    Room best = null;
-    for (Map.Entry<String, List<Room>> zone : byZone.entrySet()) {
-      Room first = firstFitting(spec, zone.getValue(), next, zone.getKey());
+    MachineCapacity best = null;
+    for (Map.Entry<String, List<MachineCapacity>> zone : byZone.entrySet()) {
+      MachineCapacity first = firstFitting(spec, zone.getValue(), next, zone.getKey());
       if (first != null
-          && Zones.allow(spec, zones, first)
+          && ZoneConstraints.allow(spec, zones, first)
           && (best == null || zones.getInt(zone.getKey()) < zones.getInt(best.machine.zone()))) {
         best = first;
       }
@@ -144,8 +145,8 @@
   }
 
   /** What doesn't fit any more is passed over for good: rooms only fill up. */
-  private static Room firstFitting(
-      JobSpec spec, List<Room> rooms, Object2IntOpenHashMap<String> next, String zone) {
+  private static MachineCapacity firstFitting(
+      JobSpec spec, List<MachineCapacity> rooms, Object2IntOpenHashMap<String> next, String zone) {
     int i = next.getInt(zone);
     while (i < rooms.size() && !rooms.get(i).fitsOne(spec)) {
       i++;
@@ -161,7 +162,8 @@
       return Map.of();
     }
     int most = Math.min(maxMachines, limit.placedAtOnce(spec));
-    List<Room> picks = choose(spec, tasks.length, candidates.forGang(job, tasks.length), most);
+    List<MachineCapacity> picks =
+        choose(spec, tasks.length, candidates.forGang(job, tasks.length), most);
     if (picks.isEmpty() && tasks.length > most) {
       // On fewer machines one transaction may be able to name them all.
       picks = choose(spec, tasks.length, candidates.roomiestForGang(job, most), most);
@@ -174,12 +176,12 @@
   }
 
   /** A room for each task, from the group with the least delivery; empty if none can take all. */
-  private static List<Room> choose(
-      JobSpec spec, int tasks, List<List<Room>> groups, int mostMachines) {
-    List<Room> best = List.of();
+  private static List<MachineCapacity> choose(
+      JobSpec spec, int tasks, List<List<MachineCapacity>> groups, int mostMachines) {
+    List<MachineCapacity> best = List.of();
     double bestDelivery = Double.MAX_VALUE;
-    for (List<Room> group : groups) {
-      List<Room> picks = picks(spec, tasks, group);
+    for (List<MachineCapacity> group : groups) {
+      List<MachineCapacity> picks = picks(spec, tasks, group);
       double slowest = picks.stream().mapToDouble(room -> room.delivery(spec)).max().orElse(0);
       boolean named = new HashSet<>(picks).size() <= mostMachines;
       if (picks.size() == tasks && named && slowest < bestDelivery) {
@@ -190,10 +192,10 @@
     return best;
   }
 
-  private static List<Room> picks(JobSpec spec, int tasks, List<Room> rooms) {
-    List<Room> picks = new ArrayList<>();
+  private static List<MachineCapacity> picks(JobSpec spec, int tasks, List<MachineCapacity> rooms) {
+    List<MachineCapacity> picks = new ArrayList<>();
     Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
-    for (Room room : rooms) {
+    for (MachineCapacity room : rooms) {
       String zone = room.machine.zone();
       int fits = room.fits(spec);
       for (int k = 0; k < fits && picks.size() < tasks; k++) {
@@ -216,8 +218,8 @@
   int reserve(JobState job, int tasks, Object2IntOpenHashMap<String> zones) {
     JobSpec spec = job.record().spec();
     int left = tasks;
-    boolean byZone = Zones.matter(spec);
-    for (Room room : index.mayFit(Ask.of(spec))) {
+    boolean byZone = ZoneConstraints.matter(spec);
+    for (MachineCapacity room : index.mayFit(ResourceRequest.of(spec))) {
       if (left == 0) {
         break;
       }
@@ -228,7 +230,7 @@
       }
       int fits = Math.min(left, room.fits(spec));
       if (byZone) {
-        fits = Math.min(fits, Zones.most(spec, zones, room));
+        fits = Math.min(fits, ZoneConstraints.most(spec, zones, room));
       }
       if (fits > 0) {
         room.take(spec, fits);
--- a/src/main/java/io/tansystack/schedule/TeamUse.java
+++ b/src/main/java/io/tansystack/schedule/TeamQuotaTracker.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /** What the teams use, may still use, and are guaranteed. */
-final class TeamUse {
+final class TeamQuotaTracker {
   private static final double EPS = 1e-6;
 
   private static final class Sum {
@@ -24,12 +24,12 @@
   }
 
   private final Map<String, Team> teams;
-  private final TeamSums recorded;
+  private final RecordedTeamUsage recorded;
   private final Map<String, Sum> used = new HashMap<>();
   private final Set<String> guaranteed = new HashSet<>();
 
   /** @param recorded what the teams use at the beginning of the pass */
-  TeamUse(Map<String, Team> teams, TeamSums recorded) {
+  TeamQuotaTracker(Map<String, Team> teams, RecordedTeamUsage recorded) {
     this.teams = teams;
     this.recorded = recorded;
   }
@@ -91,7 +91,7 @@
   }
 
   /** Whether the job is owed its guarantee by what the other one borrows. */
-  boolean owed(JobState job, Held other) {
+  boolean owed(JobState job, AllocatedTasks other) {
     JobSpec spec = job.record().spec();
     JobSpec lent = other.spec();
     if (!guaranteed(job.id()) || guaranteed(other.job()) || lent.team().equals(spec.team())) {
--- a/src/main/java/io/tansystack/schedule/ExhaustedAsks.java
+++ b/src/main/java/io/tansystack/schedule/UnsatisfiableRequests.java
@@ -14,9 +14,9 @@
  * for them: nor can it for what asks for no less. To compare each of many waiting jobs with all that
  * runs would be most of a pass.
  */
-final class ExhaustedAsks {
-  private record Exhausted(Ask ask, String zone) {
-    boolean covers(Ask other, String inZone) {
+final class UnsatisfiableRequests {
+  private record Exhausted(ResourceRequest ask, String zone) {
+    boolean covers(ResourceRequest other, String inZone) {
       return zone.equals(inZone) && other.asksNoLessThan(ask);
     }
   }
@@ -31,7 +31,7 @@
   }
 
   /** @param zones in which nothing could be made */
-  void add(Ask ask, JobSpec spec, boolean guaranteed, Collection<String> zones) {
+  void add(ResourceRequest ask, JobSpec spec, boolean guaranteed, Collection<String> zones) {
     List<Exhausted> list =
         guaranteed
             ? owed.computeIfAbsent(owedAs(spec), k -> new ArrayList<>())
@@ -44,7 +44,7 @@
   }
 
   /** Whether jobs that could use no less than this one found nothing in any of the zones. */
-  boolean covers(Ask ask, JobSpec spec, boolean guaranteed, Collection<String> zones) {
+  boolean covers(ResourceRequest ask, JobSpec spec, boolean guaranteed, Collection<String> zones) {
     for (String zone : zones) {
       if (!covers(ask, spec, guaranteed, zone)) {
         return false;
@@ -53,7 +53,7 @@
     return true;
   }
 
-  private boolean covers(Ask ask, JobSpec spec, boolean guaranteed, String zone) {
+  private boolean covers(ResourceRequest ask, JobSpec spec, boolean guaranteed, String zone) {
     if (guaranteed) {
       return covers(owed.getOrDefault(owedAs(spec), List.of()), ask, zone);
     }
@@ -67,7 +67,7 @@
     return false;
   }
 
-  private static boolean covers(List<Exhausted> failed, Ask ask, String zone) {
+  private static boolean covers(List<Exhausted> failed, ResourceRequest ask, String zone) {
     for (Exhausted exhausted : failed) {
       if (exhausted.covers(ask, zone)) {
         return true;
--- a/src/main/java/io/tansystack/schedule/Zones.java
+++ b/src/main/java/io/tansystack/schedule/ZoneConstraints.java
@@ -2,24 +2,24 @@
 
 import io.tansystack.records.JobRecord;
 import io.tansystack.records.Placement;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Shape;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 
 /** In which zones a job's tasks are, and may be. */
-final class Zones {
-  private Zones() {}
+final class ZoneConstraints {
+  private ZoneConstraints() {}
 
   /** Whether it matters for the job's next tasks where its others are. */
   static boolean matter(JobSpec spec) {
-    return spec.shape() == Shape.SERVICE || spec.scatter() || spec.sameZone();
+    return spec.shape() == JobKind.SERVICE || spec.scatter() || spec.sameZone();
   }
 
   /** Copies of the job by zone, counting all that may exist. */
-  static Object2IntOpenHashMap<String> of(JobRecord record, ClusterRooms rooms) {
+  static Object2IntOpenHashMap<String> of(JobRecord record, ClusterCapacity rooms) {
     Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
     for (Placement placement : record.placements()) {
-      Room room = rooms.get(placement.machine());
+      MachineCapacity room = rooms.get(placement.machine());
       if (room != null) {
         zones.addTo(room.machine.zone(), placement.tasks().size());
       }
@@ -28,12 +28,12 @@
   }
 
   /** Whether one more copy may stand in the room's zone. */
-  static boolean allow(JobSpec spec, Object2IntOpenHashMap<String> zones, Room room) {
+  static boolean allow(JobSpec spec, Object2IntOpenHashMap<String> zones, MachineCapacity room) {
     return most(spec, zones, room) > 0;
   }
 
   /** How many more copies may stand in the room's zone. */
-  static int most(JobSpec spec, Object2IntOpenHashMap<String> zones, Room room) {
+  static int most(JobSpec spec, Object2IntOpenHashMap<String> zones, MachineCapacity room) {
     return most(spec, zones, room.machine.zone());
   }
 
--- a/src/main/java/io/tansystack/settings/PlatformSettings.java
+++ b/src/main/java/io/tansystack/settings/PlatformSettings.java
@@ -26,10 +26,10 @@
     Duration skew,
     List<Team> teams,
     List<Objective> objectives,
-    Workers workers,
-    State store,
-    Cloud cloudLimits,
-    Limits limits) {
+    WorkerTimings workers,
+    StateServiceLimits store,
+    CloudLimits cloudLimits,
+    ProcessLimits limits) {
 
   private static final Logger log = LoggerFactory.getLogger(PlatformSettings.class);
   private static final double HUGE = 1e9;
@@ -52,17 +52,17 @@
       String kind, String jobClass, Duration within, double share, double times) {}
 
   /** What the workers keep to. */
-  public record Workers(
+  public record WorkerTimings(
       Duration report, Duration lease, Duration gangWait, Duration gangPeer, Duration cancel) {}
 
   /** Limits of the state service. */
-  public record State(double rps, double writeRps, int valueBytes, int txnOps) {}
+  public record StateServiceLimits(double rps, double writeRps, int valueBytes, int txnOps) {}
 
   /** Limits of the cloud. */
-  public record Cloud(double rps, Duration listLag) {}
+  public record CloudLimits(double rps, Duration listLag) {}
 
   /** What this process may use. */
-  public record Limits(double cores, double memoryMb, int maxConnections) {}
+  public record ProcessLimits(double cores, double memoryMb, int maxConnections) {}
 
   public static PlatformSettings load(Path file) throws SettingsException {
     return read(TomlTable.load(file));
@@ -113,19 +113,19 @@
         Duration.ofNanos(Math.round(cluster.numberOr("skew_ms", SKEW_MS, 0, HUGE) * 1e6)),
         List.copyOf(teams),
         List.copyOf(objectives),
-        new Workers(
+        new WorkerTimings(
             workers.seconds("report_s", 0.1, 3600),
             workers.seconds("lease_s", 1, 86_400),
             workers.seconds("gang_wait_s", 0, 86_400),
             workers.seconds("gang_peer_s", 0, 86_400),
             workers.seconds("cancel_s", 1, 86_400)),
-        new State(
+        new StateServiceLimits(
             state.number("rps", 1, HUGE),
             state.number("write_rps", 1, HUGE),
             (int) (state.number("value_kb", 1, 1e6) * 1024),
             state.integer("txn_ops", 2, 1_000_000)),
-        new Cloud(cloud.number("rps", 0.01, HUGE), cloud.seconds("list_lag_s", 0, 3600)),
-        new Limits(
+        new CloudLimits(cloud.number("rps", 0.01, HUGE), cloud.seconds("list_lag_s", 0, 3600)),
+        new ProcessLimits(
             limits.numberOr("cores", 1, 0.01, 1e4),
             limits.numberOr("memory_mb", 1024, 32, 1e9),
             limits.integerOr("max_connections", 1000, 16, 1_000_000)));
--- a/src/main/java/io/tansystack/settings/TomlTable.java
+++ b/src/main/java/io/tansystack/settings/TomlTable.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import io.tansystack.wire.Addresses;
-import io.tansystack.wire.BadInput;
+import io.tansystack.wire.InvalidMessageException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -154,7 +154,7 @@
   public InetSocketAddress address(String name) throws SettingsException {
     try {
       return Addresses.parse(text(name));
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       throw new SettingsException(key(name) + ": " + e.getMessage());
     }
   }
--- a/src/main/java/io/tansystack/store/StoreClient.java
+++ b/src/main/java/io/tansystack/store/StoreClient.java
@@ -1,15 +1,15 @@
 package io.tansystack.store;
 
-import io.tansystack.http.CborOutcome;
-import io.tansystack.http.HttpCaller;
-import io.tansystack.http.Loop;
-import io.tansystack.wire.BadInput;
+import io.tansystack.http.CborResponseHandler;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Malformed;
-import io.tansystack.wire.StoreWire;
-import io.tansystack.wire.StoreWire.Change;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.StoreProtocol.Change;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
+import io.tansystack.wire.StoreProtocol;
+import io.tansystack.wire.ThrottledLogger;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -26,7 +26,7 @@
   private static final int MAX_QUEUED = 64;
 
   /** What is known of a transaction. */
-  public enum Result {
+  public enum CommitResult {
     /** Applied, at the revision given with it. */
     DONE,
     /** A condition did not hold; nothing was changed. */
@@ -44,22 +44,23 @@
   }
 
   /** Receives the outcome of a transaction. */
-  public interface Committed {
-    void done(Result result, long revision);
+  public interface CommitCallback {
+    void done(CommitResult result, long revision);
   }
 
   /** Receives a strong read: {@code change} is null where the key does not exist. */
-  public interface Got {
+  public interface ReadCallback {
     void value(Change change);
 
     void failed();
   }
 
-  private record Queued(List<Condition> conditions, List<Write> writes, Duration until, Committed then) {}
+  private record Queued(
+      List<Condition> conditions, List<Write> writes, Duration until, CommitCallback then) {}
 
-  private final Malformed malformed = new Malformed(log);
-  private final HttpCaller caller;
-  private final Loop loop;
+  private final ThrottledLogger malformed = new ThrottledLogger(log);
+  private final HttpClient caller;
+  private final EventLoop loop;
   private final InetSocketAddress address;
   private final RateBudget budget;
   private final Random random;
@@ -68,7 +69,11 @@
   private Duration lastSuccess;
 
   public StoreClient(
-      HttpCaller caller, Loop loop, InetSocketAddress address, RateBudget budget, Random random) {
+      HttpClient caller,
+      EventLoop loop,
+      InetSocketAddress address,
+      RateBudget budget,
+      Random random) {
     this.caller = caller;
     this.loop = loop;
     this.address = address;
@@ -88,24 +93,25 @@
   }
 
   /** A strong read of one key. */
-  public void get(String key, Got got) {
+  public void get(String key, ReadCallback got) {
     request(
         "GET",
-        StoreWire.keyPath(key),
+        StoreProtocol.keyPath(key),
         null,
         TIMEOUT,
         (status, map) -> {
           try {
             if (status == 404) {
-              StoreWire.readRevision(map); // Of the service's own making, or it proves no absence.
+              // Of the service's own making, or it proves no absence.
+              StoreProtocol.readRevision(map);
               got.value(null);
               return;
             }
             if (status == 200) {
-              got.value(StoreWire.readKey(map));
+              got.value(StoreProtocol.readKey(map));
               return;
             }
-          } catch (BadInput e) {
+          } catch (InvalidMessageException e) {
             malformed.tell("state service: unreadable answer for " + key, e.getMessage());
           }
           got.failed();
@@ -117,9 +123,9 @@
    * if the budget is used up, and refused when the queue is full.
    */
   public void commitUrgent(
-      List<Condition> conditions, List<Write> writes, Duration wait, Committed then) {
+      List<Condition> conditions, List<Write> writes, Duration wait, CommitCallback then) {
     if (urgent.size() >= MAX_QUEUED) {
-      then.done(Result.REFUSED, 0);
+      then.done(CommitResult.REFUSED, 0);
       return;
     }
     urgent.add(new Queued(conditions, writes, loop.now().plus(wait), then));
@@ -132,7 +138,7 @@
       Queued head = urgent.peek();
       if (now.compareTo(head.until) > 0) {
         urgent.poll();
-        head.then.done(Result.REFUSED, 0);
+        head.then.done(CommitResult.REFUSED, 0);
       } else if (budget.take(head.writes.size(), true, now)) {
         urgent.poll();
         sendUrgent(head);
@@ -157,11 +163,11 @@
         queued.conditions,
         queued.writes,
         (result, revision) -> {
-          if (result == Result.BUSY && loop.now().compareTo(queued.until) < 0) {
+          if (result == CommitResult.BUSY && loop.now().compareTo(queued.until) < 0) {
             urgent.addFirst(queued);
             drain();
           } else {
-            queued.then.done(result == Result.BUSY ? Result.REFUSED : result, revision);
+            queued.then.done(result == CommitResult.BUSY ? CommitResult.REFUSED : result, revision);
           }
         });
   }
@@ -192,45 +198,47 @@
   }
 
   /** Sends a transaction whose share was reserved. */
-  public void commitReserved(List<Condition> conditions, List<Write> writes, Committed then) {
+  public void commitReserved(List<Condition> conditions, List<Write> writes, CommitCallback then) {
     send(conditions, writes, then);
   }
 
-  private void send(List<Condition> conditions, List<Write> writes, Committed then) {
+  private void send(List<Condition> conditions, List<Write> writes, CommitCallback then) {
     request(
         "POST",
         "/commit",
-        StoreWire.txn(conditions, writes),
+        StoreProtocol.txn(conditions, writes),
         TIMEOUT,
         (status, map) -> {
           switch (status) {
             case 200, 409 -> {
               long revision;
               try {
-                revision = StoreWire.readRevision(map);
-              } catch (BadInput e) {
+                revision = StoreProtocol.readRevision(map);
+              } catch (InvalidMessageException e) {
                 // Not of the service's own making: it does not tell what was changed, or that nothing was.
-                then.done(Result.UNKNOWN, 0);
+                then.done(CommitResult.UNKNOWN, 0);
                 return;
               }
-              then.done(status == 200 ? Result.DONE : Result.CONFLICT, status == 200 ? revision : 0);
+              then.done(
+                  status == 200 ? CommitResult.DONE : CommitResult.CONFLICT,
+                  status == 200 ? revision : 0);
             }
             case 400 -> {
               String error = map == null ? "" : map.path("error").asText();
               if (error.equals("no such lease")) {
-                then.done(Result.NO_LEASE, 0);
+                then.done(CommitResult.NO_LEASE, 0);
               } else {
                 log.error("state service refused a transaction as malformed: {}", map);
-                then.done(Result.MALFORMED, 0);
+                then.done(CommitResult.MALFORMED, 0);
               }
             }
             case 429 -> {
               budget.refused(loop.now(), Duration.ofMillis(50 + random.nextInt(100)));
               log.debug("state service: 429 for a transaction of {} writes", writes.size());
-              then.done(Result.BUSY, 0);
+              then.done(CommitResult.BUSY, 0);
             }
-            case 503 -> then.done(Result.REFUSED, 0);
-            default -> then.done(Result.UNKNOWN, 0);
+            case 503 -> then.done(CommitResult.REFUSED, 0);
+            default -> then.done(CommitResult.UNKNOWN, 0);
           }
         });
   }
@@ -239,12 +247,12 @@
     request(
         "POST",
         "/grants",
-        StoreWire.grant(life.toMillis()),
+        StoreProtocol.grant(life.toMillis()),
         TIMEOUT,
         (status, map) -> {
           try {
-            then.accept(status == 200 ? StoreWire.readGrant(map) : null);
-          } catch (BadInput e) {
+            then.accept(status == 200 ? StoreProtocol.readGrant(map) : null);
+          } catch (InvalidMessageException e) {
             then.accept(null);
           }
         });
@@ -254,21 +262,25 @@
   public void renew(long lease, Consumer<Integer> then) {
     request(
         "POST",
-        StoreWire.renewPath(lease),
+        StoreProtocol.renewPath(lease),
         Cbor.encode(Cbor.map()),
         TIMEOUT,
         (status, map) -> then.accept(status));
   }
 
   void request(
-      String method, String path, byte[] body, Duration timeout, CborOutcome.Answer then) {
+      String method,
+      String path,
+      byte[] body,
+      Duration timeout,
+      CborResponseHandler.Callback then) {
     caller.call(
         address,
         method,
         path,
         body,
         timeout,
-        new CborOutcome(
+        new CborResponseHandler(
             "state service",
             503,
             (status, map) -> {
--- a/src/main/java/io/tansystack/store/Watcher.java
+++ b/src/main/java/io/tansystack/store/Watcher.java
@@ -1,11 +1,11 @@
 package io.tansystack.store;
 
-import io.tansystack.http.Loop;
-import io.tansystack.wire.BadInput;
-import io.tansystack.wire.Malformed;
-import io.tansystack.wire.StoreWire;
-import io.tansystack.wire.StoreWire.Change;
-import io.tansystack.wire.StoreWire.Changes;
+import io.tansystack.http.EventLoop;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.StoreProtocol.Change;
+import io.tansystack.wire.StoreProtocol.Changes;
+import io.tansystack.wire.StoreProtocol;
+import io.tansystack.wire.ThrottledLogger;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -36,9 +36,9 @@
     void changes(List<Change> changes, long revision);
   }
 
-  private final Malformed malformed = new Malformed(log);
+  private final ThrottledLogger malformed = new ThrottledLogger(log);
   private final StoreClient store;
-  private final Loop loop;
+  private final EventLoop loop;
   private final String prefix;
   private final Duration spacing;
   private final Listener listener;
@@ -51,7 +51,7 @@
   /** @param synced told, after the listener, up to which moment the copy is complete */
   public Watcher(
       StoreClient store,
-      Loop loop,
+      EventLoop loop,
       String prefix,
       Duration spacing,
       Listener listener,
@@ -81,17 +81,17 @@
     Duration sentAt = loop.now();
     store.request(
         "GET",
-        StoreWire.revisionPath(prefix),
+        StoreProtocol.revisionPath(prefix),
         null,
         PAGE_TIMEOUT,
         (status, map) -> {
           confirming = false;
           try {
-            if (status == 200 && StoreWire.readList(map).revision() <= revision) {
+            if (status == 200 && StoreProtocol.readList(map).revision() <= revision) {
               syncedAt = sentAt.compareTo(syncedAt) > 0 ? sentAt : syncedAt;
               synced.accept(sentAt);
             }
-          } catch (BadInput e) {
+          } catch (InvalidMessageException e) {
             malformed.tell("state service: unreadable list", e.getMessage());
           }
         });
@@ -122,13 +122,13 @@
   private void load(List<Change> all, String after, long firstRevision, Duration startedAt) {
     store.request(
         "GET",
-        StoreWire.listPath(prefix, after),
+        StoreProtocol.listPath(prefix, after),
         null,
         PAGE_TIMEOUT,
         (status, map) -> {
           try {
             if (status == 200) {
-              Changes page = StoreWire.readList(map);
+              Changes page = StoreProtocol.readList(map);
               all.addAll(page.changes());
               long first = firstRevision < 0 ? page.revision() : firstRevision;
               if (page.more() && !page.changes().isEmpty()) {
@@ -142,7 +142,7 @@
             // whoever began anew for each refused page might never come through.
             loop.after(RETRY, () -> load(all, after, firstRevision, startedAt));
             return;
-          } catch (BadInput e) {
+          } catch (InvalidMessageException e) {
             malformed.tell("state service: unreadable list", e.getMessage());
           }
           loop.after(RETRY, this::start);
@@ -156,13 +156,13 @@
   private void complete(List<Change> pages, long first, Duration startedAt) {
     store.request(
         "GET",
-        StoreWire.watchPath(prefix, first, 0),
+        StoreProtocol.watchPath(prefix, first, 0),
         null,
         PAGE_TIMEOUT,
         (status, map) -> {
           try {
             if (status == 200) {
-              Changes since = StoreWire.readWatch(map);
+              Changes since = StoreProtocol.readWatch(map);
               revision = Math.max(first, since.revision());
               completeBefore = syncedAt == null ? startedAt : syncedAt;
               syncedAt = startedAt;
@@ -174,7 +174,7 @@
               loop.after(RETRY, () -> complete(pages, first, startedAt));
               return;
             }
-          } catch (BadInput e) {
+          } catch (InvalidMessageException e) {
             malformed.tell("state service: unreadable watch", e.getMessage());
           }
           loop.after(RETRY, this::start);
@@ -185,7 +185,7 @@
     Duration sentAt = loop.now();
     store.request(
         "GET",
-        StoreWire.watchPath(prefix, revision, HOLD.toMillis()),
+        StoreProtocol.watchPath(prefix, revision, HOLD.toMillis()),
         null,
         HOLD.plusSeconds(3),
         (status, map) -> {
@@ -197,7 +197,7 @@
           }
           try {
             if (status == 200) {
-              Changes changes = StoreWire.readWatch(map);
+              Changes changes = StoreProtocol.readWatch(map);
               completeBefore = syncedAt;
               syncedAt = sentAt;
               revision = Math.max(revision, changes.revision());
@@ -205,7 +205,7 @@
               synced.accept(sentAt);
               next = spacing.minus(loop.now().minus(sentAt));
             }
-          } catch (BadInput e) {
+          } catch (InvalidMessageException e) {
             // Nothing may be skipped: what can't be read is read again as a whole.
             malformed.tell("state service: unreadable watch", e.getMessage());
             loop.after(RETRY, this::start);
--- a/src/main/java/io/tansystack/wire/Addresses.java
+++ b/src/main/java/io/tansystack/wire/Addresses.java
@@ -8,13 +8,13 @@
 public final class Addresses {
   private Addresses() {}
 
-  public static InetSocketAddress parse(String text) throws BadInput {
+  public static InetSocketAddress parse(String text) throws InvalidMessageException {
     try {
       HostAndPort address = HostAndPort.fromString(text);
       return new InetSocketAddress(
           InetAddresses.forString(address.getHost()), address.getPort());
     } catch (IllegalArgumentException | IllegalStateException e) {
-      throw new BadInput("not an IP number and a port: " + text);
+      throw new InvalidMessageException("not an IP number and a port: " + text);
     }
   }
 }
--- a/src/main/java/io/tansystack/wire/Cbor.java
+++ b/src/main/java/io/tansystack/wire/Cbor.java
@@ -27,17 +27,17 @@
   }
 
   /** Decodes a body that has to be a map; anything else is bad input. */
-  public static ObjectNode decodeMap(byte[] body) throws BadInput {
+  public static ObjectNode decodeMap(byte[] body) throws InvalidMessageException {
     JsonNode node;
     try {
       node = MAPPER.readTree(body);
     } catch (IOException | RuntimeException e) {
-      throw new BadInput("body: not CBOR");
+      throw new InvalidMessageException("body: not CBOR");
     }
     if (node instanceof ObjectNode map) {
       return map;
     }
-    throw new BadInput("body: not a map");
+    throw new InvalidMessageException("body: not a map");
   }
 
   /** For those who read a part of a body only. */
--- a/src/main/java/io/tansystack/wire/CloudWire.java
+++ b/src/main/java/io/tansystack/wire/CloudProtocol.java
@@ -8,12 +8,12 @@
 import java.util.List;
 
 /** Messages of the cloud's interface. */
-public final class CloudWire {
+public final class CloudProtocol {
   public static final int MAX_RENT = 50;
   public static final int MAX_DELETE = 100;
   public static final int MAX_LIST = 500;
 
-  private CloudWire() {}
+  private CloudProtocol() {}
 
   /** What the machine list says of a machine. */
   public enum Status {
@@ -23,11 +23,11 @@
   }
 
   /** One line of the machine list. */
-  public record Listed(
+  public record ListedMachine(
       String machine, String type, String zone, boolean spot, Status status, double ageS) {}
 
   /** One page of the machine list. */
-  public record Page(List<Listed> machines, boolean more) {}
+  public record Page(List<ListedMachine> machines, boolean more) {}
 
   public static byte[] rent(String request, String type, String zone, boolean spot, int count) {
     ObjectNode map = Cbor.map();
@@ -43,9 +43,9 @@
     return Cbor.encode(map);
   }
 
-  public static List<String> readRented(ObjectNode map) throws BadInput {
+  public static List<String> readRented(ObjectNode map) throws InvalidMessageException {
     List<String> names = new ArrayList<>();
-    for (JsonNode name : Read.list(map, "Berths")) {
+    for (JsonNode name : FieldReader.list(map, "Berths")) {
       names.add(name.asText());
     }
     return names;
@@ -55,26 +55,26 @@
     return "/machines?" + (after.isEmpty() ? "" : "Since=" + after + "&") + "Limit=" + MAX_LIST;
   }
 
-  public static Page readPage(ObjectNode map) throws BadInput {
-    List<Listed> machines = new ArrayList<>();
-    for (JsonNode node : Read.list(map, "Berths")) {
-      ObjectNode m = Read.map(node, "Berths");
+  public static Page readPage(ObjectNode map) throws InvalidMessageException {
+    List<ListedMachine> machines = new ArrayList<>();
+    for (JsonNode node : FieldReader.list(map, "Berths")) {
+      ObjectNode m = FieldReader.map(node, "Berths");
       Status status =
-          switch (Read.text(m, "Status")) {
+          switch (FieldReader.text(m, "Status")) {
             case "starting" -> Status.BOOTING;
             case "running" -> Status.RUNNING;
             case "failed" -> Status.FAILED;
-            default -> throw new BadInput("Status: unknown value");
+            default -> throw new InvalidMessageException("Status: unknown value");
           };
       machines.add(
-          new Listed(
-              Read.text(m, "Uid"),
-              Read.text(m, "Fleet"),
-              Read.text(m, "Yard"),
-              Read.flagOr(m, "Loaners", false),
+          new ListedMachine(
+              FieldReader.text(m, "Uid"),
+              FieldReader.text(m, "Fleet"),
+              FieldReader.text(m, "Yard"),
+              FieldReader.flagOr(m, "Loaners", false),
               status,
-              Read.amountOr(m, "AgeS", 0)));
+              FieldReader.amountOr(m, "AgeS", 0)));
     }
-    return new Page(machines, Read.flagOr(map, "HasNext", false));
+    return new Page(machines, FieldReader.flagOr(map, "HasNext", false));
   }
 }
--- a/src/main/java/io/tansystack/wire/Read.java
+++ b/src/main/java/io/tansystack/wire/FieldReader.java
@@ -5,13 +5,13 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** Typed, checked access to the fields of a decoded map. Every refusal names the field. */
-public final class Read {
-  private Read() {}
+public final class FieldReader {
+  private FieldReader() {}
 
-  private static JsonNode present(ObjectNode map, String field) throws BadInput {
+  private static JsonNode present(ObjectNode map, String field) throws InvalidMessageException {
     JsonNode node = map.get(field);
     if (node == null || node.isNull()) {
-      throw new BadInput(field + ": missing");
+      throw new InvalidMessageException(field + ": missing");
     }
     return node;
   }
@@ -21,80 +21,83 @@
     return node != null && !node.isNull();
   }
 
-  public static String text(ObjectNode map, String field) throws BadInput {
+  public static String text(ObjectNode map, String field) throws InvalidMessageException {
     JsonNode node = present(map, field);
     if (!node.isTextual()) {
-      throw new BadInput(field + ": not text");
+      throw new InvalidMessageException(field + ": not text");
     }
     return node.textValue();
   }
 
-  public static String textOrNull(ObjectNode map, String field) throws BadInput {
+  public static String textOrNull(ObjectNode map, String field) throws InvalidMessageException {
     return has(map, field) ? text(map, field) : null;
   }
 
-  public static boolean flag(ObjectNode map, String field) throws BadInput {
+  public static boolean flag(ObjectNode map, String field) throws InvalidMessageException {
     JsonNode node = present(map, field);
     if (!node.isBoolean()) {
-      throw new BadInput(field + ": not a boolean");
+      throw new InvalidMessageException(field + ": not a boolean");
     }
     return node.booleanValue();
   }
 
-  public static boolean flagOr(ObjectNode map, String field, boolean fallback) throws BadInput {
+  public static boolean flagOr(ObjectNode map, String field, boolean fallback)
+      throws InvalidMessageException {
     return has(map, field) ? flag(map, field) : fallback;
   }
 
   /** A decimal amount: finite and not negative. Integers are accepted as amounts too. */
-  public static double amount(ObjectNode map, String field) throws BadInput {
+  public static double amount(ObjectNode map, String field) throws InvalidMessageException {
     JsonNode node = present(map, field);
     if (!node.isNumber()) {
-      throw new BadInput(field + ": not a number");
+      throw new InvalidMessageException(field + ": not a number");
     }
     double value = node.doubleValue();
     if (!Double.isFinite(value) || value < 0) {
-      throw new BadInput(field + ": out of range");
+      throw new InvalidMessageException(field + ": out of range");
     }
     return value;
   }
 
-  public static double amountOr(ObjectNode map, String field, double fallback) throws BadInput {
+  public static double amountOr(ObjectNode map, String field, double fallback)
+      throws InvalidMessageException {
     return has(map, field) ? amount(map, field) : fallback;
   }
 
   /** An integer of the protocol (counts, versions, tokens, attempts). */
-  public static long integer(ObjectNode map, String field, long min, long max) throws BadInput {
+  public static long integer(ObjectNode map, String field, long min, long max)
+      throws InvalidMessageException {
     JsonNode node = present(map, field);
     if (!node.isIntegralNumber() || !node.canConvertToLong()) {
-      throw new BadInput(field + ": not an integer in range");
+      throw new InvalidMessageException(field + ": not an integer in range");
     }
     long value = node.longValue();
     if (value < min || value > max) {
-      throw new BadInput(field + ": out of range");
+      throw new InvalidMessageException(field + ": out of range");
     }
     return value;
   }
 
-  public static long integer(ObjectNode map, String field) throws BadInput {
+  public static long integer(ObjectNode map, String field) throws InvalidMessageException {
     return integer(map, field, 0, Long.MAX_VALUE);
   }
 
-  public static ArrayNode list(ObjectNode map, String field) throws BadInput {
+  public static ArrayNode list(ObjectNode map, String field) throws InvalidMessageException {
     JsonNode node = present(map, field);
     if (node instanceof ArrayNode list) {
       return list;
     }
-    throw new BadInput(field + ": not a list");
+    throw new InvalidMessageException(field + ": not a list");
   }
 
-  public static ObjectNode map(JsonNode node, String what) throws BadInput {
+  public static ObjectNode map(JsonNode node, String what) throws InvalidMessageException {
     if (node instanceof ObjectNode map) {
       return map;
     }
-    throw new BadInput(what + ": not a map");
+    throw new InvalidMessageException(what + ": not a map");
   }
 
-  public static ObjectNode map(ObjectNode map, String field) throws BadInput {
+  public static ObjectNode map(ObjectNode map, String field) throws InvalidMessageException {
     return map(present(map, field), field);
   }
 }
--- a/src/main/java/io/tansystack/wire/Shape.java
+++ b/src/main/java/io/tansystack/wire/JobKind.java
@@ -1,23 +1,23 @@
 package io.tansystack.wire;
 
 /** The three job shapes and their names on the wire. */
-public enum Shape {
+public enum JobKind {
   ARRAY("sweep"),
   GANG("group"),
   SERVICE("service");
 
   public final String wire;
 
-  Shape(String wire) {
+  JobKind(String wire) {
     this.wire = wire;
   }
 
-  static Shape parse(String text) throws BadInput {
-    for (Shape shape : values()) {
+  static JobKind parse(String text) throws InvalidMessageException {
+    for (JobKind shape : values()) {
       if (shape.wire.equals(text)) {
         return shape;
       }
     }
-    throw new BadInput("Shape: unknown value");
+    throw new InvalidMessageException("Shape: unknown value");
   }
 }
--- a/src/main/java/io/tansystack/wire/JobSpec.java
+++ b/src/main/java/io/tansystack/wire/JobSpec.java
@@ -15,7 +15,7 @@
     String id,
     String jobClass,
     String team,
-    Shape shape,
+    JobKind shape,
     Priority priority,
     int tasks,
     double cpus,
@@ -43,21 +43,21 @@
     return ID.matcher(id).matches();
   }
 
-  public static JobSpec read(ObjectNode map) throws BadInput {
-    String id = Read.text(map, "Uid");
+  public static JobSpec read(ObjectNode map) throws InvalidMessageException {
+    String id = FieldReader.text(map, "Uid");
     if (!validId(id)) {
-      throw new BadInput("Uid: not of the form wk-000412");
+      throw new InvalidMessageException("Uid: not of the form wk-000412");
     }
     List<String> types = null;
-    if (Read.has(map, "Fleets")) {
-      ArrayNode list = Read.list(map, "Fleets");
+    if (FieldReader.has(map, "Fleets")) {
+      ArrayNode list = FieldReader.list(map, "Fleets");
       if (list.size() > MAX_TYPES) {
-        throw new BadInput("Fleets: too many");
+        throw new InvalidMessageException("Fleets: too many");
       }
       types = new ArrayList<>();
       for (JsonNode type : list) {
         if (!type.isTextual()) {
-          throw new BadInput("Fleets: not text");
+          throw new InvalidMessageException("Fleets: not text");
         }
         types.add(type.textValue());
       }
@@ -67,29 +67,29 @@
         id,
         name(map, "Consist"),
         name(map, "Crew"),
-        Shape.parse(Read.text(map, "Shape")),
-        Priority.parse(Read.text(map, "Urgency")),
-        (int) Read.integer(map, "Wagons", 1, MAX_TASKS),
-        Read.amount(map, "Cpus"),
-        Read.amount(map, "Gpus"),
-        Read.amount(map, "MemGb"),
+        JobKind.parse(FieldReader.text(map, "Shape")),
+        Priority.parse(FieldReader.text(map, "Urgency")),
+        (int) FieldReader.integer(map, "Wagons", 1, MAX_TASKS),
+        FieldReader.amount(map, "Cpus"),
+        FieldReader.amount(map, "Gpus"),
+        FieldReader.amount(map, "MemGb"),
         name(map, "Cargo"),
-        Read.amount(map, "PullGb"),
+        FieldReader.amount(map, "PullGb"),
         types,
-        Read.has(map, "Yard") ? name(map, "Yard") : null,
-        Read.flag(map, "SamePlace"),
-        Read.flag(map, "Scatter"),
-        Read.flag(map, "Loaners"),
-        Read.amount(map, "TransitS"),
-        Read.amount(map, "WaypointS"),
-        Read.amount(map, "CoupleS"),
-        Read.has(map, "DueS") ? Read.amount(map, "DueS") : null);
+        FieldReader.has(map, "Yard") ? name(map, "Yard") : null,
+        FieldReader.flag(map, "SamePlace"),
+        FieldReader.flag(map, "Scatter"),
+        FieldReader.flag(map, "Loaners"),
+        FieldReader.amount(map, "TransitS"),
+        FieldReader.amount(map, "WaypointS"),
+        FieldReader.amount(map, "CoupleS"),
+        FieldReader.has(map, "DueS") ? FieldReader.amount(map, "DueS") : null);
   }
 
-  private static String name(ObjectNode map, String field) throws BadInput {
-    String text = Read.text(map, field);
+  private static String name(ObjectNode map, String field) throws InvalidMessageException {
+    String text = FieldReader.text(map, field);
     if (text.isEmpty() || text.length() > MAX_TEXT) {
-      throw new BadInput(field + ": bad length");
+      throw new InvalidMessageException(field + ": bad length");
     }
     return text;
   }
--- a/src/main/java/io/tansystack/wire/MachineType.java
+++ b/src/main/java/io/tansystack/wire/MachineType.java
@@ -18,25 +18,25 @@
     double bootS,
     List<String> zones) {
 
-  public static List<MachineType> readAll(ObjectNode map) throws BadInput {
+  public static List<MachineType> readAll(ObjectNode map) throws InvalidMessageException {
     List<MachineType> types = new ArrayList<>();
-    for (JsonNode node : Read.list(map, "Fleets")) {
-      ObjectNode type = Read.map(node, "Fleets");
+    for (JsonNode node : FieldReader.list(map, "Fleets")) {
+      ObjectNode type = FieldReader.map(node, "Fleets");
       List<String> zones = new ArrayList<>();
-      for (JsonNode zone : Read.list(type, "Yards")) {
+      for (JsonNode zone : FieldReader.list(type, "Yards")) {
         zones.add(zone.asText());
       }
       types.add(
           new MachineType(
-              Read.text(type, "Label"),
-              Read.amount(type, "Cpus"),
-              Read.amountOr(type, "Gpus", 0),
-              Read.amount(type, "MemGb"),
-              Read.amountOr(type, "CacheGb", 0),
-              Read.amount(type, "PullGbPerS"),
-              Read.amount(type, "Price"),
-              Read.amountOr(type, "MarketPrice", Read.amount(type, "Price")),
-              Read.amountOr(type, "BootS", 0),
+              FieldReader.text(type, "Label"),
+              FieldReader.amount(type, "Cpus"),
+              FieldReader.amountOr(type, "Gpus", 0),
+              FieldReader.amount(type, "MemGb"),
+              FieldReader.amountOr(type, "CacheGb", 0),
+              FieldReader.amount(type, "PullGbPerS"),
+              FieldReader.amount(type, "Price"),
+              FieldReader.amountOr(type, "MarketPrice", FieldReader.amount(type, "Price")),
+              FieldReader.amountOr(type, "BootS", 0),
               List.copyOf(zones)));
     }
     return List.copyOf(types);
--- a/src/main/java/io/tansystack/wire/Priority.java
+++ b/src/main/java/io/tansystack/wire/Priority.java
@@ -13,12 +13,12 @@
     this.wire = wire;
   }
 
-  static Priority parse(String text) throws BadInput {
+  static Priority parse(String text) throws InvalidMessageException {
     for (Priority priority : values()) {
       if (priority.wire.equals(text)) {
         return priority;
       }
     }
-    throw new BadInput("Urgency: unknown value");
+    throw new InvalidMessageException("Urgency: unknown value");
   }
 }
--- a/src/main/java/io/tansystack/wire/Report.java
+++ b/src/main/java/io/tansystack/wire/Report.java
@@ -22,39 +22,39 @@
   private static final int MAX_NAME = 100;
 
   /** Reads a report as it came. */
-  public static Report read(byte[] body) throws BadInput {
-    Report report = ReportStream.read(body);
+  public static Report read(byte[] body) throws InvalidMessageException {
+    Report report = StreamingReportParser.read(body);
     return report != null ? report : read(Cbor.decodeMap(body));
   }
 
-  public static Report read(ObjectNode map) throws BadInput {
+  public static Report read(ObjectNode map) throws InvalidMessageException {
     List<TaskReport> tasks = new ArrayList<>();
-    if (Read.has(map, "Wagons")) {
-      for (JsonNode task : Read.list(map, "Wagons")) {
-        tasks.add(TaskReport.read(Read.map(task, "Wagons")));
+    if (FieldReader.has(map, "Wagons")) {
+      for (JsonNode task : FieldReader.list(map, "Wagons")) {
+        tasks.add(TaskReport.read(FieldReader.map(task, "Wagons")));
       }
     }
-    String machine = Read.text(map, "Berth");
+    String machine = FieldReader.text(map, "Berth");
     checkName(machine);
     return new Report(
         machine,
-        Read.text(map, "Endpoint"),
-        Read.text(map, "Fleet"),
-        Read.text(map, "Yard"),
-        Read.flagOr(map, "Loaners", false),
-        Read.integer(map, "Shift"),
-        Read.integer(map, "Tick"),
-        Read.has(map, "Baton") ? Read.integer(map, "Baton") : 0,
-        Read.has(map, "RecallS") ? Read.amount(map, "RecallS") : null,
+        FieldReader.text(map, "Endpoint"),
+        FieldReader.text(map, "Fleet"),
+        FieldReader.text(map, "Yard"),
+        FieldReader.flagOr(map, "Loaners", false),
+        FieldReader.integer(map, "Shift"),
+        FieldReader.integer(map, "Tick"),
+        FieldReader.has(map, "Baton") ? FieldReader.integer(map, "Baton") : 0,
+        FieldReader.has(map, "RecallS") ? FieldReader.amount(map, "RecallS") : null,
         List.copyOf(tasks));
   }
 
-  static void checkName(String machine) throws BadInput {
+  static void checkName(String machine) throws InvalidMessageException {
     if (machine == null
         || machine.isEmpty()
         || machine.length() > MAX_NAME
         || machine.indexOf(' ') >= 0) {
-      throw new BadInput("Berth: bad name");
+      throw new InvalidMessageException("Berth: bad name");
     }
   }
 
--- a/src/main/java/io/tansystack/wire/ReportHead.java
+++ b/src/main/java/io/tansystack/wire/ReportHeader.java
@@ -13,10 +13,10 @@
  * @param from where the number begins in the body
  * @param to where it ends
  */
-public record ReportHead(String machine, long seq, int from, int to) {
+public record ReportHeader(String machine, long seq, int from, int to) {
 
   /** Null where the fields come in an order in which that can't be told; all of it is read then. */
-  public static ReportHead read(byte[] body) {
+  public static ReportHeader read(byte[] body) {
     try (JsonParser parser = Cbor.parser(body)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         return null;
@@ -28,7 +28,7 @@
           boolean number = parser.nextToken() == JsonToken.VALUE_NUMBER_INT;
           int to = (int) parser.currentLocation().getByteOffset();
           return machine != null && number
-              ? new ReportHead(machine, parser.getLongValue(), from, to)
+              ? new ReportHeader(machine, parser.getLongValue(), from, to)
               : null;
         }
         JsonToken value = parser.nextToken();
@@ -46,7 +46,7 @@
   }
 
   /** Whether two bodies are the same, byte by byte, but for the number. */
-  public boolean sameRest(byte[] body, ReportHead other, byte[] otherBody) {
+  public boolean sameRest(byte[] body, ReportHeader other, byte[] otherBody) {
     return Arrays.equals(body, 0, from, otherBody, 0, other.from)
         && Arrays.equals(body, to, body.length, otherBody, other.to, otherBody.length);
   }
--- a/src/main/java/io/tansystack/wire/Answers.java
+++ b/src/main/java/io/tansystack/wire/Responses.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** Bodies of the answers to users and workers. */
-public final class Answers {
-  private Answers() {}
+public final class Responses {
+  private Responses() {}
 
   /** A job's state as users see it. */
-  public enum JobState {
+  public enum JobStatus {
     PENDING("pending"),
     RUNNING("running"),
     DONE("done"),
@@ -15,16 +15,16 @@
 
     final String wire;
 
-    JobState(String wire) {
+    JobStatus(String wire) {
       this.wire = wire;
     }
   }
 
-  public static ObjectNode job(String id, JobState state) {
+  public static ObjectNode job(String id, JobStatus state) {
     return Cbor.map().put("Uid", id).put("Status", state.wire);
   }
 
-  public static ObjectNode progress(String id, JobState state, int done, int running) {
+  public static ObjectNode progress(String id, JobStatus state, int done, int running) {
     return job(id, state).put("done", done).put("running", running);
   }
 
--- a/src/main/java/io/tansystack/wire/StoreWire.java
+++ b/src/main/java/io/tansystack/wire/StoreProtocol.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /** Messages of the state service's interface. */
-public final class StoreWire {
-  private StoreWire() {}
+public final class StoreProtocol {
+  private StoreProtocol() {}
 
   /** The new value of a key, or its removal ({@code value} null), at a revision. */
   public record Change(String key, ObjectNode value, long version) {}
@@ -44,20 +44,22 @@
   }
 
   /** @param map the answer; null where it could not be read */
-  public static long readRevision(ObjectNode map) throws BadInput {
+  public static long readRevision(ObjectNode map) throws InvalidMessageException {
     if (map == null) {
-      throw new BadInput("Ledger: missing");
+      throw new InvalidMessageException("Ledger: missing");
     }
-    return Read.integer(map, "Ledger");
+    return FieldReader.integer(map, "Ledger");
   }
 
   public static String keyPath(String key) {
     return "/store/" + key;
   }
 
-  public static Change readKey(ObjectNode map) throws BadInput {
+  public static Change readKey(ObjectNode map) throws InvalidMessageException {
     return new Change(
-        Read.text(map, "Path"), Read.map(map, "Value"), Read.integer(map, "Stamp"));
+        FieldReader.text(map, "Path"),
+        FieldReader.map(map, "Value"),
+        FieldReader.integer(map, "Stamp"));
   }
 
   public static String listPath(String prefix, String after) {
@@ -69,27 +71,28 @@
     return "/store?Starts=" + prefix + "none/&Limit=1";
   }
 
-  public static Changes readList(ObjectNode map) throws BadInput {
+  public static Changes readList(ObjectNode map) throws InvalidMessageException {
     List<Change> changes = new ArrayList<>();
-    for (JsonNode node : Read.list(map, "Pairs")) {
-      changes.add(readKey(Read.map(node, "Pairs")));
+    for (JsonNode node : FieldReader.list(map, "Pairs")) {
+      changes.add(readKey(FieldReader.map(node, "Pairs")));
     }
-    return new Changes(changes, readRevision(map), Read.flagOr(map, "HasNext", false));
+    return new Changes(changes, readRevision(map), FieldReader.flagOr(map, "HasNext", false));
   }
 
   public static String watchPath(String prefix, long after, long holdMs) {
     return "/watch?Starts=" + prefix + "&Since=" + after + "&HoldMs=" + holdMs;
   }
 
-  public static Changes readWatch(ObjectNode map) throws BadInput {
+  public static Changes readWatch(ObjectNode map) throws InvalidMessageException {
     List<Change> changes = new ArrayList<>();
-    for (JsonNode node : Read.list(map, "Log")) {
-      ObjectNode event = Read.map(node, "Log");
-      long version = Read.integer(event, "Stamp");
-      if (Read.has(event, "Write")) {
-        changes.add(new Change(Read.text(event, "Write"), Read.map(event, "Value"), version));
+    for (JsonNode node : FieldReader.list(map, "Log")) {
+      ObjectNode event = FieldReader.map(node, "Log");
+      long version = FieldReader.integer(event, "Stamp");
+      if (FieldReader.has(event, "Write")) {
+        changes.add(
+            new Change(FieldReader.text(event, "Write"), FieldReader.map(event, "Value"), version));
       } else {
-        changes.add(new Change(Read.text(event, "Delete"), null, version));
+        changes.add(new Change(FieldReader.text(event, "Delete"), null, version));
       }
     }
     return new Changes(changes, readRevision(map), false);
@@ -99,8 +102,8 @@
     return Cbor.encode(Cbor.map().put("LifeMs", lifeMs));
   }
 
-  public static long readGrant(ObjectNode map) throws BadInput {
-    return Read.integer(map, "Permit");
+  public static long readGrant(ObjectNode map) throws InvalidMessageException {
+    return FieldReader.integer(map, "Permit");
   }
 
   public static String renewPath(long lease) {
--- a/src/main/java/io/tansystack/wire/ReportStream.java
+++ b/src/main/java/io/tansystack/wire/StreamingReportParser.java
@@ -11,26 +11,28 @@
  * dozens of tasks. Whatever is out of the ordinary is left to {@link Report#read}, which says what is
  * wrong with it.
  */
-final class ReportStream {
+final class StreamingReportParser {
   private static final TaskReport.State[] STATES = TaskReport.State.values();
   private static final TaskReport.Cause[] CAUSES = TaskReport.Cause.values();
 
   private final JsonParser parser;
 
-  private ReportStream(JsonParser parser) {
+  private StreamingReportParser(JsonParser parser) {
     this.parser = parser;
   }
 
   /** Null where the body isn't just what it is expected to be. */
   static Report read(byte[] body) {
     try (JsonParser parser = Cbor.parser(body)) {
-      return parser.nextToken() == JsonToken.START_OBJECT ? new ReportStream(parser).report() : null;
-    } catch (IOException | BadInput e) {
+      return parser.nextToken() == JsonToken.START_OBJECT
+          ? new StreamingReportParser(parser).report()
+          : null;
+    } catch (IOException | InvalidMessageException e) {
       return null;
     }
   }
 
-  private Report report() throws IOException, BadInput {
+  private Report report() throws IOException, InvalidMessageException {
     String machine = null;
     String address = null;
     String type = null;
@@ -59,13 +61,13 @@
     }
     boolean whole = parser.currentToken() == JsonToken.END_OBJECT && parser.nextToken() == null;
     if (!whole || address == null || type == null || zone == null || session < 0 || seq < 0) {
-      throw new BadInput("not a whole report");
+      throw new InvalidMessageException("not a whole report");
     }
     Report.checkName(machine);
     return new Report(machine, address, type, zone, spot, session, seq, token, noticeS, tasks);
   }
 
-  private List<TaskReport> tasks() throws IOException, BadInput {
+  private List<TaskReport> tasks() throws IOException, InvalidMessageException {
     expect(parser.currentToken() == JsonToken.START_ARRAY);
     List<TaskReport> tasks = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
@@ -75,7 +77,7 @@
     return List.copyOf(tasks);
   }
 
-  private TaskReport task() throws IOException, BadInput {
+  private TaskReport task() throws IOException, InvalidMessageException {
     TaskId task = null;
     long attempt = -1;
     TaskReport.State state = null;
@@ -115,24 +117,24 @@
     return TaskReport.Cause.OTHER;
   }
 
-  private String text() throws IOException, BadInput {
+  private String text() throws IOException, InvalidMessageException {
     expect(parser.currentToken() == JsonToken.VALUE_STRING);
     return parser.getText();
   }
 
-  private boolean flag() throws BadInput {
+  private boolean flag() throws InvalidMessageException {
     expect(parser.currentToken().isBoolean());
     return parser.currentToken() == JsonToken.VALUE_TRUE;
   }
 
-  private long integer() throws IOException, BadInput {
+  private long integer() throws IOException, InvalidMessageException {
     expect(parser.currentToken() == JsonToken.VALUE_NUMBER_INT);
     long value = parser.getLongValue();
     expect(value >= 0);
     return value;
   }
 
-  private Double amountOrNull() throws IOException, BadInput {
+  private Double amountOrNull() throws IOException, InvalidMessageException {
     if (parser.currentToken() == JsonToken.VALUE_NULL) {
       return null;
     }
@@ -142,9 +144,9 @@
     return value;
   }
 
-  private static void expect(boolean ordinary) throws BadInput {
+  private static void expect(boolean ordinary) throws InvalidMessageException {
     if (!ordinary) {
-      throw new BadInput("not as it is expected");
+      throw new InvalidMessageException("not as it is expected");
     }
   }
 }
--- a/src/main/java/io/tansystack/wire/TaskId.java
+++ b/src/main/java/io/tansystack/wire/TaskId.java
@@ -2,15 +2,15 @@
 
 /** One task of a job, written {@code job/index} on the wire. */
 public record TaskId(String job, int index) {
-  static TaskId parse(String text) throws BadInput {
+  static TaskId parse(String text) throws InvalidMessageException {
     int slash = text.indexOf('/');
     if (slash < 1 || text.length() - slash > 7) {
-      throw new BadInput("Wagon: not a task name");
+      throw new InvalidMessageException("Wagon: not a task name");
     }
     try {
       return new TaskId(text.substring(0, slash), Integer.parseUnsignedInt(text.substring(slash + 1)));
     } catch (NumberFormatException e) {
-      throw new BadInput("Wagon: not a task name");
+      throw new InvalidMessageException("Wagon: not a task name");
     }
   }
 
--- a/src/main/java/io/tansystack/wire/TaskReport.java
+++ b/src/main/java/io/tansystack/wire/TaskReport.java
@@ -59,8 +59,8 @@
     return state == State.EXITED;
   }
 
-  static TaskReport read(ObjectNode map) throws BadInput {
-    String stateText = Read.text(map, "Status");
+  static TaskReport read(ObjectNode map) throws InvalidMessageException {
+    String stateText = FieldReader.text(map, "Status");
     State state = null;
     for (State candidate : State.values()) {
       if (candidate.wire.equals(stateText)) {
@@ -68,12 +68,12 @@
       }
     }
     if (state == null) {
-      throw new BadInput("Status: unknown value");
+      throw new InvalidMessageException("Status: unknown value");
     }
     Cause cause = null;
     if (state == State.EXITED) {
       cause = Cause.OTHER;
-      String causeText = Read.textOrNull(map, "Cause");
+      String causeText = FieldReader.textOrNull(map, "Cause");
       for (Cause candidate : Cause.values()) {
         if (candidate.wire.equals(causeText)) {
           cause = candidate;
@@ -81,11 +81,11 @@
       }
     }
     return new TaskReport(
-        TaskId.parse(Read.text(map, "Wagon")),
-        Read.integer(map, "Departure"),
+        TaskId.parse(FieldReader.text(map, "Wagon")),
+        FieldReader.integer(map, "Departure"),
         state,
         cause,
-        Read.flagOr(map, "Stored", false));
+        FieldReader.flagOr(map, "Stored", false));
   }
 
   ObjectNode write() {
--- a/src/main/java/io/tansystack/wire/Malformed.java
+++ b/src/main/java/io/tansystack/wire/ThrottledLogger.java
@@ -8,7 +8,7 @@
  * Logs what can't be read, seldom: whoever sends one unreadable message sends thousands, and a log that
  * is flooded with them hides everything else and costs the processor time of the rest.
  */
-public final class Malformed {
+public final class ThrottledLogger {
   static final Duration EVERY = Duration.ofSeconds(5);
 
   private final Logger log;
@@ -17,11 +17,11 @@
   private long saidAt;
   private long unsaid;
 
-  public Malformed(Logger log) {
+  public ThrottledLogger(Logger log) {
     this(log, System::nanoTime);
   }
 
-  Malformed(Logger log, LongSupplier nanoTime) {
+  ThrottledLogger(Logger log, LongSupplier nanoTime) {
     this.log = log;
     this.nanoTime = nanoTime;
   }
--- a/src/main/java/io/tansystack/workers/Cancelled.java
+++ b/src/main/java/io/tansystack/workers/CancellationTracker.java
@@ -1,11 +1,11 @@
 package io.tansystack.workers;
 
-import io.tansystack.cluster.OwnLease;
-import io.tansystack.cluster.PlacementIndex.Placed;
-import io.tansystack.cluster.TimeOfDay;
-import io.tansystack.cluster.Touched;
-import io.tansystack.cluster.World.Job;
-import io.tansystack.cluster.World;
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.ClusterStateDelta;
+import io.tansystack.cluster.ControllerLease;
+import io.tansystack.cluster.PlacementIndex.IndexedPlacement;
+import io.tansystack.cluster.WallClockConverter;
 import io.tansystack.records.JobRecord.Phase;
 import io.tansystack.records.Placement;
 import io.tansystack.wire.Report;
@@ -31,17 +31,21 @@
  * told. Both clocks may be wrong by {@code skew}, and one may have been wrong the other way, so it is only
  * taken for as old as it must be; what proves that it is older counts.
  */
-final class Cancelled {
-  private static final Logger log = LoggerFactory.getLogger(Cancelled.class);
+final class CancellationTracker {
+  private static final Logger log = LoggerFactory.getLogger(CancellationTracker.class);
 
-  private final World world;
-  private final OwnLease lease;
+  private final ClusterState world;
+  private final ControllerLease lease;
   private final Supplier<Duration> unknownUntil;
-  private final TimeOfDay timeOfDay;
+  private final WallClockConverter timeOfDay;
   private final Map<String, Duration> since = new HashMap<>();
 
   /** @param unknownUntil the latest moment at which nobody can have committed what the copy has just shown */
-  Cancelled(World world, OwnLease lease, Supplier<Duration> unknownUntil, TimeOfDay timeOfDay) {
+  CancellationTracker(
+      ClusterState world,
+      ControllerLease lease,
+      Supplier<Duration> unknownUntil,
+      WallClockConverter timeOfDay) {
     this.world = world;
     this.lease = lease;
     this.unknownUntil = unknownUntil;
@@ -49,7 +53,7 @@
   }
 
   /** The records of these jobs have changed. */
-  void worldChanged(Touched touched) {
+  void worldChanged(ClusterStateDelta touched) {
     for (String id : touched.jobs()) {
       Job job = world.job(id);
       if (job == null || job.record().phase() != Phase.CANCELLED) {
@@ -77,7 +81,8 @@
     boolean quiet =
         report.token() == token && !machine.ordersInFlight && machine.doubtfulToken != token;
     boolean left = false;
-    for (Placed placed : since.isEmpty() ? List.<Placed>of() : world.placedOn(machine.name)) {
+    for (IndexedPlacement placed :
+        since.isEmpty() ? List.<IndexedPlacement>of() : world.placedOn(machine.name)) {
       Duration at = since.get(placed.id());
       Placement placement = placed.placement();
       // A later session than the placement's proves that it is over.
--- a/src/main/java/io/tansystack/workers/LotWriter.java
+++ b/src/main/java/io/tansystack/workers/ClaimBatcher.java
@@ -1,13 +1,13 @@
 package io.tansystack.workers;
 
+import io.tansystack.cluster.ClusterState;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
+import io.tansystack.store.StoreClient.CommitCallback;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
-import io.tansystack.store.StoreClient.Committed;
-import io.tansystack.store.StoreClient.Result;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -19,8 +19,8 @@
  * Claims machines that nobody has claimed before, those that come up at once by one record. The first
  * is claimed as it comes; who follows closely waits for a fraction of a second, for others.
  */
-final class LotWriter {
-  private static final Logger log = LoggerFactory.getLogger(LotWriter.class);
+final class ClaimBatcher {
+  private static final Logger log = LoggerFactory.getLogger(ClaimBatcher.class);
   private static final Duration TOGETHER = Duration.ofMillis(20);
   private static final Duration APART = Duration.ofMillis(700);
   private static final Duration WAIT = Duration.ofSeconds(2);
@@ -30,13 +30,13 @@
 
   private static final int MAX_WAITING = 400;
 
-  private record Claim(MachineRecord record, Committed then) {
+  private record Claim(MachineRecord record, CommitCallback then) {
     Condition unclaimed() {
-      return new Condition(World.machineKey(record.name()), 0);
+      return new Condition(ClusterState.machineKey(record.name()), 0);
     }
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
   private final String boot;
   private final ArrayDeque<Claim> waiting = new ArrayDeque<>();
@@ -45,14 +45,14 @@
   private long counter;
 
   /** @param boot this start of the process: names of lots begin with it */
-  LotWriter(Loop loop, StoreClient store, String boot) {
+  ClaimBatcher(EventLoop loop, StoreClient store, String boot) {
     this.loop = loop;
     this.store = store;
     this.boot = boot;
   }
 
   /** Claims a machine that has no record at all; false if too many wait already. */
-  boolean claim(MachineRecord record, Committed then) {
+  boolean claim(MachineRecord record, CommitCallback then) {
     if (waiting.size() >= MAX_WAITING) {
       return false;
     }
@@ -82,7 +82,7 @@
   }
 
   private void alone(Claim claim) {
-    String key = World.machineKey(claim.record.name());
+    String key = ClusterState.machineKey(claim.record.name());
     commit(
         List.of(claim),
         List.of(claim.unclaimed()),
@@ -91,16 +91,16 @@
   }
 
   private void together(List<Claim> lot) {
-    String key = World.lotKey(boot + "-" + counter++);
+    String key = ClusterState.lotKey(boot + "-" + counter++);
     List<Condition> conditions = new ArrayList<>();
     conditions.add(new Condition(key, 0));
     lot.forEach(claim -> conditions.add(claim.unclaimed()));
     commit(
         lot,
         conditions,
-        new Write(key, World.lot(lot.stream().map(Claim::record).toList()), 0),
+        new Write(key, ClusterState.lot(lot.stream().map(Claim::record).toList()), 0),
         (result, revision) -> {
-          if (result == Result.CONFLICT) {
+          if (result == CommitResult.CONFLICT) {
             // One of them was claimed by another; the rest need not suffer for it.
             lot.forEach(this::alone);
           } else {
@@ -109,7 +109,8 @@
         });
   }
 
-  private void commit(List<Claim> lot, List<Condition> conditions, Write write, Committed then) {
+  private void commit(
+      List<Claim> lot, List<Condition> conditions, Write write, CommitCallback then) {
     store.commitUrgent(
         conditions,
         List.of(write),
--- a/src/main/java/io/tansystack/workers/Orders.java
+++ b/src/main/java/io/tansystack/workers/CommandSender.java
@@ -1,15 +1,15 @@
 package io.tansystack.workers;
 
-import io.tansystack.cluster.World;
-import io.tansystack.http.HttpCaller;
-import io.tansystack.http.Loop;
-import io.tansystack.recovery.Attempt;
-import io.tansystack.recovery.OrderPace;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
+import io.tansystack.recovery.CommandThrottle;
 import io.tansystack.recovery.Reconciliation;
-import io.tansystack.wire.BadInput;
+import io.tansystack.recovery.TaskAttempt;
 import io.tansystack.wire.Command;
-import io.tansystack.wire.Malformed;
+import io.tansystack.wire.InvalidMessageException;
 import io.tansystack.wire.Report;
+import io.tansystack.wire.ThrottledLogger;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -23,8 +23,8 @@
  * Commands to machines: what a machine lacks follows from the records and its newest report, and goes
  * out by {@code /orders} alone, one request at a time for each machine.
  */
-final class Orders {
-  private static final Logger log = LoggerFactory.getLogger(Orders.class);
+final class CommandSender {
+  private static final Logger log = LoggerFactory.getLogger(CommandSender.class);
   private static final Duration ORDERS_TIMEOUT = Duration.ofSeconds(4);
   private static final Duration HALT_AGAIN = Duration.ofSeconds(5);
   static final Duration FORGET_WAIT = Duration.ofSeconds(6);
@@ -32,29 +32,29 @@
   private static final int MAX_COMMANDS = 300;
 
   /** Told of the report that answers commands. */
-  interface Answered {
+  interface CommandReplyListener {
     void take(OwnedMachine machine, Report report);
   }
 
-  private final Malformed malformed = new Malformed(log);
-  private final Loop loop;
-  private final HttpCaller caller;
-  private final World world;
-  private final Answered answered;
+  private final ThrottledLogger malformed = new ThrottledLogger(log);
+  private final EventLoop loop;
+  private final HttpClient caller;
+  private final ClusterState world;
+  private final CommandReplyListener answered;
   private final Consumer<OwnedMachine> again;
-  private final OrderPace pace;
+  private final CommandThrottle pace;
   private final Map<Command.Op, Long> sent = new EnumMap<>(Command.Op.class);
 
   /**
    * @param pace tells when a machine's turn is
    * @param again asked to look at a machine once more, after its answer was taken in
    */
-  Orders(
-      Loop loop,
-      HttpCaller caller,
-      World world,
-      OrderPace pace,
-      Answered answered,
+  CommandSender(
+      EventLoop loop,
+      HttpClient caller,
+      ClusterState world,
+      CommandThrottle pace,
+      CommandReplyListener answered,
       Consumer<OwnedMachine> again) {
     this.loop = loop;
     this.caller = caller;
@@ -78,10 +78,10 @@
    * Attempts that will not be launched under this token: launches leave them out from the moment at
    * which the record says that they are unwanted.
    */
-  static List<View.Void> voids(Reconciliation difference) {
-    List<View.Void> voids = new ArrayList<>();
-    for (Attempt a : difference.absent()) {
-      voids.add(new View.Void(a.task().job(), a.task().index(), a.number()));
+  static List<MachineView.AbsentAttempt> voids(Reconciliation difference) {
+    List<MachineView.AbsentAttempt> voids = new ArrayList<>();
+    for (TaskAttempt a : difference.absent()) {
+      voids.add(new MachineView.AbsentAttempt(a.task().job(), a.task().index(), a.number()));
     }
     return voids;
   }
@@ -112,7 +112,7 @@
       commands = commands.subList(0, MAX_COMMANDS);
     }
     if (pace.mayGo(machine.name, wanted.urgency(), commands.size())) {
-      wanted.halts().forEach(h -> machine.halted.put(new Attempt(h.task(), h.attempt()), now));
+      wanted.halts().forEach(h -> machine.halted.put(new TaskAttempt(h.task(), h.attempt()), now));
       machine.forgetAt = now.plus(FORGET_WAIT);
       send(machine, token, machine.latest.session(), commands);
     }
@@ -147,21 +147,21 @@
         "/orders",
         Command.orders(token, session, commands),
         ORDERS_TIMEOUT,
-        new HttpCaller.Outcome() {
+        new HttpClient.ResponseHandler() {
           @Override
           public void answer(int status, byte[] body) {
             machine.ordersInFlight = false;
             machine.failures = 0;
             try {
               if (status != 200 && status != 409) {
-                throw new BadInput("status " + status);
+                throw new InvalidMessageException("status " + status);
               }
               Report report = Report.read(body);
               if (!report.machine().equals(machine.name)) {
-                throw new BadInput("Berth: another machine's");
+                throw new InvalidMessageException("Berth: another machine's");
               }
               answered.take(machine, report);
-            } catch (BadInput e) {
+            } catch (InvalidMessageException e) {
               // Nobody knows what became of the commands, and the newest report may be older than they are:
               // what it doesn't list would be taken for not there, though it has just been launched.
               malformed.tell("machine=" + machine.name + " answered commands", e.getMessage());
--- a/src/main/java/io/tansystack/workers/Silences.java
+++ b/src/main/java/io/tansystack/workers/HeartbeatMonitor.java
@@ -4,13 +4,13 @@
 import java.util.Collection;
 
 /** How long machines have been silent, and whether it is they or this controller that can't be heard. */
-final class Silences {
+final class HeartbeatMonitor {
   /** Since when reports were heard and answered; before that, silences were this controller's own. */
   private Duration listeningSince;
 
   private boolean deaf;
 
-  Silences(Duration now) {
+  HeartbeatMonitor(Duration now) {
     this.listeningSince = now;
   }
 
@@ -39,10 +39,10 @@
     for (OwnedMachine machine : machines) {
       if (!machine.unhearing()) {
         all++;
-        silent += Telling.silent(since(machine.answeredAt, now)) ? 1 : 0;
+        silent += MachineViewPublisher.silent(since(machine.answeredAt, now)) ? 1 : 0;
       }
     }
-    deaf = silent > 2 && silent > all * WorkerDesk.MASS;
+    deaf = silent > 2 && silent > all * WorkerManager.MASS;
   }
 
   /** Whether most machines had fallen silent together when they were looked at last. */
--- a/src/main/java/io/tansystack/workers/Claims.java
+++ b/src/main/java/io/tansystack/workers/MachineClaims.java
@@ -1,20 +1,20 @@
 package io.tansystack.workers;
 
+import io.tansystack.cluster.ClusterState;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.World;
+import io.tansystack.http.EventLoop;
 import io.tansystack.http.HttpServer.Reply;
-import io.tansystack.http.Loop;
-import io.tansystack.recovery.Owners.Verdict;
-import io.tansystack.recovery.Recovery;
+import io.tansystack.recovery.OwnerLiveness.Verdict;
+import io.tansystack.recovery.RecoveryContext;
 import io.tansystack.store.RateBudget;
-import io.tansystack.store.StoreClient.Committed;
-import io.tansystack.store.StoreClient.Result;
+import io.tansystack.store.StoreClient.CommitCallback;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.Answers;
 import io.tansystack.wire.Cbor;
 import io.tansystack.wire.Report;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.Responses;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,8 +25,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Claims of machines: whose worker comes is sent to its owner, or taken over if there is none. */
-final class Claims {
-  private static final Logger log = LoggerFactory.getLogger(Claims.class);
+final class MachineClaims {
+  private static final Logger log = LoggerFactory.getLogger(MachineClaims.class);
   private static final Duration CLAIM_WAIT = Duration.ofMillis(3500);
 
   /**
@@ -42,7 +42,7 @@
   static final int COME_AGAIN_S = 1;
 
   /** Told of a worker whose claim has come true, to be answered as the owner's. */
-  interface Claimed {
+  interface ClaimListener {
     void accept(MachineRecord record, Report report, Reply reply);
   }
 
@@ -56,17 +56,17 @@
 
   private record SentAway(int times, Duration at) {}
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
+  private final ClusterState world;
   private final String label;
   private final String zone;
   private final Predicate<String> unfit;
-  private final Recovery recovery;
+  private final RecoveryContext recovery;
   private final Predicate<MachineRecord> usable;
-  private final Claimed claimed;
+  private final ClaimListener claimed;
   private final Map<String, Open> claims = new HashMap<>();
-  private final LotWriter lots;
+  private final ClaimBatcher lots;
   private final Map<String, SentAway> sentAway = new HashMap<>();
 
   /** Claims may use a part of the write limit only: after a crash every machine asks at once. */
@@ -77,18 +77,18 @@
    * @param recovery what to make of owners that don't act, and how their machines are handed over
    * @param usable whether a record is this controller's own and its worker may be answered under it
    */
-  Claims(
-      Loop loop,
+  MachineClaims(
+      EventLoop loop,
       StoreClient store,
-      World world,
+      ClusterState world,
       String label,
       String boot,
       String zone,
       double writesPerSecond,
       Predicate<String> unfit,
-      Recovery recovery,
+      RecoveryContext recovery,
       Predicate<MachineRecord> usable,
-      Claimed claimed) {
+      ClaimListener claimed) {
     this.loop = loop;
     this.store = store;
     this.world = world;
@@ -98,7 +98,7 @@
     this.recovery = recovery;
     this.usable = usable;
     this.claimed = claimed;
-    this.lots = new LotWriter(loop, store, boot);
+    this.lots = new ClaimBatcher(loop, store, boot);
     this.claimPace =
         new RateBudget(
             writesPerSecond * CLAIM_SHARE, Math.max(2, writesPerSecond * CLAIM_SHARE * 2), loop.now());
@@ -118,7 +118,7 @@
     } else if (verdict != Verdict.AWAITED) {
       return false;
     }
-    reply.send(503, Cbor.encode(Answers.error(record.owner() + " is awaited")), COME_AGAIN_S);
+    reply.send(503, Cbor.encode(Responses.error(record.owner() + " is awaited")), COME_AGAIN_S);
     return true;
   }
 
@@ -137,7 +137,7 @@
     Duration now = loop.now();
     if (record == null && report.session() <= FIRST && world.wasMachine(report.machine())) {
       // A machine counts as gone once its session is over, so this is a late copy of what it said before.
-      reply.send(503, Cbor.encode(Answers.error("the machine is gone")), COME_AGAIN_S);
+      reply.send(503, Cbor.encode(Responses.error("the machine is gone")), COME_AGAIN_S);
       return;
     }
     boolean ownerLives = record != null && verdict(record) == Verdict.HERE;
@@ -159,7 +159,7 @@
           sentAway.clear();
         }
         sentAway.put(report.machine(), new SentAway(times, now));
-        reply.send(421, Cbor.encode(Answers.redirect(to)));
+        reply.send(421, Cbor.encode(Responses.redirect(to)));
         return;
       }
     }
@@ -171,7 +171,7 @@
     boolean fresh = record == null && world.machineVersion(report.machine()) == 0;
     if (!fresh && !claims.containsKey(report.machine()) && !claimPace.take(1, true, loop.now())) {
       // Its former owner may be back before its turn comes, and then nobody need claim it.
-      reply.send(503, Cbor.encode(Answers.error("too many machines to claim")));
+      reply.send(503, Cbor.encode(Responses.error("too many machines to claim")));
       return;
     }
     sentAway.remove(report.machine());
@@ -179,14 +179,14 @@
   }
 
   private boolean inZone(String controller, String wanted) {
-    World.ControllerRecord record = world.controllers().get(controller);
+    ClusterState.ControllerRecord record = world.controllers().get(controller);
     return record != null && record.zone().equals(wanted);
   }
 
   /** A controller of the zone, by the machine's name: all machines at one of them would be its end. */
   private String nearController(String machine, String wanted) {
     List<String> near = new ArrayList<>();
-    for (Map.Entry<String, World.ControllerRecord> entry : world.controllers().entrySet()) {
+    for (Map.Entry<String, ClusterState.ControllerRecord> entry : world.controllers().entrySet()) {
       if (entry.getValue().zone().equals(wanted)
           && !entry.getKey().equals(label)
           && !unfit.test(entry.getKey())) {
@@ -214,9 +214,9 @@
             before != null && before.drain(),
             0,
             false);
-    Committed then =
+    CommitCallback then =
         (result, revision) -> {
-          if (result != Result.DONE) {
+          if (result != CommitResult.DONE) {
             dropClaims(name);
           } else {
             open.revision = revision;
@@ -234,7 +234,7 @@
     Open open = claims.remove(name);
     if (open != null) {
       open.waiting.forEach(
-          c -> c.reply.send(503, Cbor.encode(Answers.error("the claim did not succeed"))));
+          c -> c.reply.send(503, Cbor.encode(Responses.error("the claim did not succeed"))));
     }
   }
 
@@ -247,7 +247,7 @@
         "commands without an answer under token " + machine.doubtfulToken,
         (result, revision) -> {
           machine.claiming = false;
-          if (result != Result.DONE) {
+          if (result != CommitResult.DONE) {
             machine.quietUntil = loop.now().plusMillis(500);
           }
         });
@@ -255,8 +255,8 @@
 
   /** Writes a new owner, on the condition that nobody else has. */
   void write(
-      MachineRecord before, MachineRecord next, String why, Committed then) {
-    String key = World.machineKey(next.name());
+      MachineRecord before, MachineRecord next, String why, CommitCallback then) {
+    String key = ClusterState.machineKey(next.name());
     Condition unchanged =
         before == null
             ? new Condition(key, world.machineVersion(next.name())) // The mark of one that was gone.
@@ -266,7 +266,7 @@
         List.of(new Write(key, next.write(), 0)),
         Duration.ofSeconds(2),
         (result, revision) -> {
-          if (result == Result.DONE) {
+          if (result == CommitResult.DONE) {
             log.info(
                 "claim machine={} token={} former={} because={}",
                 next.name(),
