--- a/src/main/java/io/tansystack/workers/View.java
+++ b/src/main/java/io/tansystack/workers/MachineView.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.tansystack.records.TaskSet;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Read;
+import io.tansystack.wire.FieldReader;
+import io.tansystack.wire.InvalidMessageException;
 import io.tansystack.wire.Report;
 import io.tansystack.wire.TaskId;
 import io.tansystack.wire.TaskReport;
@@ -23,16 +23,16 @@
  * What a machine's owner knows of it and tells the other controllers: the newest report, the images
  * thought to be cached, and measured speeds. Reports in it are facts; the rest are hints.
  */
-public final class View {
+public final class MachineView {
   /** A recorded, unwanted task attempt that is not on the machine and will not be launched there. */
-  public record Void(String job, int task, long attempt) {}
+  public record AbsentAttempt(String job, int task, long attempt) {}
 
   private static final TaskReport.State[] STATES = TaskReport.State.values();
   private static final TaskReport.Cause[] CAUSES = TaskReport.Cause.values();
 
   private final Report report;
   private final long token;
-  private final List<Void> voids;
+  private final List<AbsentAttempt> voids;
   private final Map<String, Double> images;
   private final double fetchGbPerS;
   private final double slowness;
@@ -47,10 +47,10 @@
    * @param slowness measured run time over predicted, averaged, 0 if unknown
    * @param unhearing whether its reports arrive and its owner's answers don't
    */
-  public View(
+  public MachineView(
       Report report,
       long token,
-      List<Void> voids,
+      List<AbsentAttempt> voids,
       Map<String, Double> images,
       double fetchGbPerS,
       double slowness,
@@ -74,7 +74,7 @@
     return token;
   }
 
-  public List<Void> voids() {
+  public List<AbsentAttempt> voids() {
     return voids;
   }
 
@@ -99,7 +99,7 @@
   }
 
   /** Whether this view says more than the other one. */
-  public boolean newerThan(View other) {
+  public boolean newerThan(MachineView other) {
     if (token != other.token) {
       return token > other.token;
     }
@@ -127,7 +127,7 @@
    * The jobs of which it tells something that the other one, of the same session and token, did not.
    * Most reports only say that work goes on.
    */
-  public Set<String> provesMoreThan(View other) {
+  public Set<String> provesMoreThan(MachineView other) {
     Set<String> jobs = new HashSet<>();
     exited()
         .forEach(
@@ -201,7 +201,7 @@
     ArrayNode tasks = map.putArray("tasks");
     groups.forEach((group, numbers) -> tasks.add(group.write(TaskSet.of(numbers))));
     ArrayNode list = map.putArray("voids");
-    for (Void v : voids) {
+    for (AbsentAttempt v : voids) {
       list.addObject().put("j", v.job).put("t", v.task).put("a", v.attempt);
     }
     ObjectNode cached = map.putObject("images");
@@ -209,35 +209,39 @@
     return map;
   }
 
-  public static View read(ObjectNode map) throws BadInput {
-    List<Void> voids = new ArrayList<>();
-    for (JsonNode node : Read.list(map, "voids")) {
-      ObjectNode v = Read.map(node, "voids");
+  public static MachineView read(ObjectNode map) throws InvalidMessageException {
+    List<AbsentAttempt> voids = new ArrayList<>();
+    for (JsonNode node : FieldReader.list(map, "voids")) {
+      ObjectNode v = FieldReader.map(node, "voids");
       voids.add(
-          new Void(
-              Read.text(v, "j"), (int) Read.integer(v, "t", 0, 1_000_000), Read.integer(v, "a")));
+          new AbsentAttempt(
+              FieldReader.text(v, "j"),
+              (int) FieldReader.integer(v, "t", 0, 1_000_000),
+              FieldReader.integer(v, "a")));
     }
     Map<String, Double> images = new LinkedHashMap<>();
-    Read.map(map, "images").fields().forEachRemaining(e -> images.put(e.getKey(), e.getValue().asDouble()));
-    return new View(
-        Report.read(Read.map(map, "report")).with(readTasks(Read.list(map, "tasks"))),
-        Read.integer(map, "token"),
+    FieldReader.map(map, "images")
+        .fields()
+        .forEachRemaining(e -> images.put(e.getKey(), e.getValue().asDouble()));
+    return new MachineView(
+        Report.read(FieldReader.map(map, "report")).with(readTasks(FieldReader.list(map, "tasks"))),
+        FieldReader.integer(map, "token"),
         voids,
         images,
-        Read.amount(map, "bw"),
-        Read.amount(map, "slow"),
-        Read.integer(map, "silent"),
-        Read.flagOr(map, "unhearing", false));
+        FieldReader.amount(map, "bw"),
+        FieldReader.amount(map, "slow"),
+        FieldReader.integer(map, "silent"),
+        FieldReader.flagOr(map, "unhearing", false));
   }
 
-  private static List<TaskReport> readTasks(ArrayNode groups) throws BadInput {
+  private static List<TaskReport> readTasks(ArrayNode groups) throws InvalidMessageException {
     List<TaskReport> tasks = new ArrayList<>();
     try {
       for (JsonNode group : groups) {
         Group.read(group.textValue(), tasks);
       }
     } catch (RuntimeException e) {
-      throw new BadInput("tasks: not as sent by a peer of this version");
+      throw new InvalidMessageException("tasks: not as sent by a peer of this version");
     }
     return List.copyOf(tasks);
   }
--- a/src/main/java/io/tansystack/workers/Telling.java
+++ b/src/main/java/io/tansystack/workers/MachineViewPublisher.java
@@ -6,15 +6,15 @@
 import java.util.function.Consumer;
 
 /** When the others are told of a machine: at once what proves something, the rest now and then. */
-final class Telling {
+final class MachineViewPublisher {
   private static final Duration SILENT = Duration.ofSeconds(7);
   private static final Duration TELL_SILENT = Duration.ofSeconds(3);
   private static final Duration TELL_HINTS = Duration.ofSeconds(6);
   private static final Duration TELL_SAME = Duration.ofSeconds(30);
 
-  private final Consumer<View> publish;
+  private final Consumer<MachineView> publish;
 
-  Telling(Consumer<View> publish) {
+  MachineViewPublisher(Consumer<MachineView> publish) {
     this.publish = publish;
   }
 
@@ -28,10 +28,14 @@
    *     it: before that nobody knows whether it is there, and work should go elsewhere
    */
   void tell(
-      OwnedMachine machine, long held, List<View.Void> voids, Duration silence, Duration now) {
+      OwnedMachine machine,
+      long held,
+      List<MachineView.AbsentAttempt> voids,
+      Duration silence,
+      Duration now) {
     boolean met = machine.answeredUnder == held || machine.latest.token() == held;
     long token = met ? held : machine.latest.token();
-    View old = machine.published;
+    MachineView old = machine.published;
     Duration since = now.minus(machine.publishedAt);
     if (old != null
         && old.report().tasks() == machine.latest.tasks()
@@ -44,8 +48,8 @@
         && since.compareTo(silent(silence) ? TELL_SILENT : TELL_SAME) < 0) {
       return;
     }
-    View view =
-        new View(
+    MachineView view =
+        new MachineView(
             machine.latest,
             token,
             voids,
@@ -68,7 +72,7 @@
    * How long after the last telling the next one is due. What placements end by, and what closes or
    * opens a machine, is told at once; how far its fetches are is a hint and can wait.
    */
-  private static Duration due(View old, View view) {
+  private static Duration due(MachineView old, MachineView view) {
     Report before = old.report();
     Report latest = view.report();
     if (old.token() != view.token()
--- a/src/main/java/io/tansystack/workers/OwnedMachine.java
+++ b/src/main/java/io/tansystack/workers/OwnedMachine.java
@@ -1,12 +1,12 @@
 package io.tansystack.workers;
 
-import io.tansystack.recovery.Attempt;
+import io.tansystack.recovery.TaskAttempt;
 import io.tansystack.schedule.MachineHistory;
-import io.tansystack.wire.Answers;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.InvalidMessageException;
 import io.tansystack.wire.Report;
-import io.tansystack.wire.ReportHead;
+import io.tansystack.wire.ReportHeader;
+import io.tansystack.wire.Responses;
 import io.tansystack.wire.TaskReport;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -28,13 +28,13 @@
   /** The newest message that came as a report: one that is no newer is a copy, or was held up. */
   private Report heard;
 
-  private ReportHead lastHead;
+  private ReportHeader lastHead;
   private Report lastRead;
   private byte[] answer;
   private long answerToken = -1;
 
   /** The newest report's lines by attempt, made once for each report. */
-  Map<Attempt, TaskReport> listed = Map.of();
+  Map<TaskAttempt, TaskReport> listed = Map.of();
 
   InetSocketAddress address;
 
@@ -76,8 +76,8 @@
   boolean claiming;
   int failures;
   Duration quietUntil = Duration.ZERO;
-  final Map<Attempt, Duration> halted = new HashMap<>();
-  View published;
+  final Map<TaskAttempt, Duration> halted = new HashMap<>();
+  MachineView published;
   Duration publishedAt = Duration.ZERO;
 
   /**
@@ -91,7 +91,7 @@
     this.heldSince = heldSince;
     this.answeredAt = now;
     this.formerOwnerUntil = formerUntil;
-    this.forgetAt = now.plus(Orders.FORGET_WAIT);
+    this.forgetAt = now.plus(CommandSender.FORGET_WAIT);
   }
 
   /**
@@ -126,7 +126,7 @@
   }
 
   /** Reads a report; one that repeats the one before is known by its bytes. */
-  Report read(ReportHead head, byte[] body) throws BadInput {
+  Report read(ReportHeader head, byte[] body) throws InvalidMessageException {
     if (lastBody != null && head.sameRest(body, lastHead, lastBody)) {
       return lastRead.numbered(head.seq());
     }
@@ -191,7 +191,7 @@
   byte[] answer(long token) {
     if (answerToken != token) {
       answerToken = token;
-      answer = Cbor.encode(Answers.report(token));
+      answer = Cbor.encode(Responses.report(token));
     }
     return answer;
   }
@@ -201,7 +201,7 @@
     latest = report;
     listed = new LinkedHashMap<>();
     for (TaskReport task : report.tasks()) {
-      listed.put(new Attempt(task.task(), task.attempt()), task);
+      listed.put(new TaskAttempt(task.task(), task.attempt()), task);
     }
     settled = false;
   }
--- a/src/main/java/io/tansystack/workers/OwnedMachines.java
+++ b/src/main/java/io/tansystack/workers/OwnedMachines.java
@@ -1,9 +1,9 @@
 package io.tansystack.workers;
 
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.ControllerLease;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.OwnLease;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
 import io.tansystack.schedule.MachineHistory;
 import io.tansystack.wire.MachineType;
 import java.time.Duration;
@@ -26,24 +26,24 @@
   /** Of a type that is not known. */
   private static final double USUAL_CACHE_GB = 50;
 
-  private final Loop loop;
-  private final World world;
-  private final OwnLease lease;
+  private final EventLoop loop;
+  private final ClusterState world;
+  private final ControllerLease lease;
   private final String label;
   private final Function<String, MachineType> types;
-  private final Function<String, View> views;
+  private final Function<String, MachineView> views;
   private final Map<String, OwnedMachine> machines = new LinkedHashMap<>();
 
   /** Those that came to be this controller's since it was last told. */
   private final List<String> acquired = new ArrayList<>();
 
   OwnedMachines(
-      Loop loop,
-      World world,
-      OwnLease lease,
+      EventLoop loop,
+      ClusterState world,
+      ControllerLease lease,
       String label,
       Function<String, MachineType> types,
-      Function<String, View> views) {
+      Function<String, MachineView> views) {
     this.loop = loop;
     this.world = world;
     this.lease = lease;
@@ -66,7 +66,7 @@
     MachineType type = types.apply(record.type());
     MachineHistory history =
         new MachineHistory(type == null ? USUAL_CACHE_GB : type.cacheGb());
-    View old = views.apply(record.name());
+    MachineView old = views.apply(record.name());
     if (old != null) {
       history.inherit(old.images(), old.fetchGbPerS());
     }
@@ -115,8 +115,8 @@
   }
 
   /** What the others were last told of each machine: one that starts anew needs all of it. */
-  List<View> told() {
-    List<View> told = new ArrayList<>();
+  List<MachineView> told() {
+    List<MachineView> told = new ArrayList<>();
     for (OwnedMachine machine : machines.values()) {
       if (machine.published != null) {
         told.add(machine.published);
--- a/src/main/java/io/tansystack/workers/Proofs.java
+++ b/src/main/java/io/tansystack/workers/TerminationProofs.java
@@ -1,11 +1,11 @@
 package io.tansystack.workers;
 
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.records.JobRecord.Over;
+import io.tansystack.records.JobRecord.EndedAttempt;
 import io.tansystack.records.JobRecord;
 import io.tansystack.records.Placement;
 import io.tansystack.records.TaskSet;
-import io.tansystack.wire.StoreWire.Condition;
+import io.tansystack.wire.StoreProtocol.Condition;
 import io.tansystack.wire.TaskReport.Cause;
 import io.tansystack.wire.TaskReport;
 import java.util.ArrayList;
@@ -35,14 +35,17 @@
  * @param failures what went wrong with some of them
  * @param grounds what each of it rests on, for the log
  */
-public record Proofs(
-    List<Over> over, List<Condition> conditions, List<Failure> failures, List<Ground> grounds) {
+public record TerminationProofs(
+    List<EndedAttempt> over,
+    List<Condition> conditions,
+    List<Failure> failures,
+    List<Evidence> grounds) {
 
   /** An attempt that ended by something else than its completion or a stop. */
   public record Failure(int task, long attempt, String machine, Cause cause) {}
 
   /** Which of the four proofs. */
-  public enum Kind {
+  public enum ProofKind {
     ENDED("ended"),
     LATER_SESSION("later session"),
     RECORD_GONE("record gone"),
@@ -50,7 +53,7 @@
 
     private final String text;
 
-    Kind(String text) {
+    ProofKind(String text) {
       this.text = text;
     }
   }
@@ -61,8 +64,8 @@
    * @param session the session that the machine reported; 0 if nothing is known of it
    * @param token under which its owner has told that
    */
-  public record Ground(
-      Kind kind, String machine, long attempt, TaskSet tasks, long session, long token) {
+  public record Evidence(
+      ProofKind kind, String machine, long attempt, TaskSet tasks, long session, long token) {
     @Override
     public String toString() {
       return machine + "#" + attempt + "=" + tasks + " " + kind.text + " session=" + session
@@ -74,21 +77,21 @@
    * @param maxConditions a transaction holds so many only. Proofs beyond that are left for the next
    *     one: a job whose round could never be written would be stuck for ever
    */
-  public static Proofs collect(
+  public static TerminationProofs collect(
       String job,
       JobRecord record,
-      Function<String, View> views,
+      Function<String, MachineView> views,
       Function<String, MachineRecord> machines,
       ToLongFunction<MachineRecord> tokens,
       int maxConditions) {
     Collector collector = new Collector(job, maxConditions);
     for (Placement placement : record.placements()) {
       MachineRecord machine = machines.apply(placement.machine());
-      View view = views.apply(placement.machine());
+      MachineView view = views.apply(placement.machine());
       if (machine == null) {
-        collector.all(placement, view, Kind.RECORD_GONE);
+        collector.all(placement, view, ProofKind.RECORD_GONE);
       } else if (view != null && view.report().session() > placement.session()) {
-        collector.all(placement, view, Kind.LATER_SESSION);
+        collector.all(placement, view, ProofKind.LATER_SESSION);
       } else if (view != null && view.report().session() == placement.session()) {
         if (!view.exitedOf(job).isEmpty()) {
           collector.ended(placement, view);
@@ -105,66 +108,66 @@
   private static final class Collector {
     private final String job;
     private final int maxConditions;
-    private final List<Over> over = new ArrayList<>();
+    private final List<EndedAttempt> over = new ArrayList<>();
     private final List<Condition> conditions = new ArrayList<>();
     private final List<Failure> failures = new ArrayList<>();
-    private final List<Ground> grounds = new ArrayList<>();
+    private final List<Evidence> grounds = new ArrayList<>();
 
     Collector(String job, int maxConditions) {
       this.job = job;
       this.maxConditions = maxConditions;
     }
 
-    Proofs found() {
-      return new Proofs(over, conditions, failures, grounds);
+    TerminationProofs found() {
+      return new TerminationProofs(over, conditions, failures, grounds);
     }
 
     /** Everything of the placement is over. */
-    void all(Placement p, View view, Kind kind) {
-      p.tasks().forEach(task -> over.add(new Over(task, p.attempt(), p.machine(), false)));
+    void all(Placement p, MachineView view, ProofKind kind) {
+      p.tasks().forEach(task -> over.add(new EndedAttempt(task, p.attempt(), p.machine(), false)));
       ground(p, view, kind, p.tasks());
     }
 
     /** What the machine reports as ended, in the session of the placement. */
-    void ended(Placement p, View view) {
+    void ended(Placement p, MachineView view) {
       BitSet ended = new BitSet();
       for (TaskReport task : view.exitedOf(job)) {
         int index = task.task().index();
         if (task.attempt() != p.attempt() || !p.tasks().contains(index)) {
           continue;
         }
-        over.add(new Over(index, p.attempt(), p.machine(), task.cause() == Cause.DONE));
+        over.add(new EndedAttempt(index, p.attempt(), p.machine(), task.cause() == Cause.DONE));
         ended.set(index);
         if (task.cause() != Cause.DONE && task.cause() != Cause.STOPPED) {
           failures.add(new Failure(index, p.attempt(), p.machine(), task.cause()));
         }
       }
-      ground(p, view, Kind.ENDED, TaskSet.of(ended));
+      ground(p, view, ProofKind.ENDED, TaskSet.of(ended));
     }
 
     /** What the machine's owner says is unwanted and not there; holds under the condition. */
-    void saidAbsent(Placement p, View view, Condition owner) {
+    void saidAbsent(Placement p, MachineView view, Condition owner) {
       if (conditions.size() >= maxConditions && !conditions.contains(owner)) {
         return;
       }
       BitSet absent = new BitSet();
-      for (View.Void v : view.voids()) {
+      for (MachineView.AbsentAttempt v : view.voids()) {
         if (v.job().equals(job) && v.attempt() == p.attempt() && p.tasks().contains(v.task())) {
-          over.add(new Over(v.task(), p.attempt(), p.machine(), false));
+          over.add(new EndedAttempt(v.task(), p.attempt(), p.machine(), false));
           absent.set(v.task());
         }
       }
       if (!absent.isEmpty() && !conditions.contains(owner)) {
         conditions.add(owner);
       }
-      ground(p, view, Kind.OWNERS_WORD, TaskSet.of(absent));
+      ground(p, view, ProofKind.OWNERS_WORD, TaskSet.of(absent));
     }
 
-    private void ground(Placement p, View view, Kind kind, TaskSet tasks) {
+    private void ground(Placement p, MachineView view, ProofKind kind, TaskSet tasks) {
       if (!tasks.isEmpty()) {
         long session = view == null ? 0 : view.report().session();
         long token = view == null ? 0 : view.token();
-        grounds.add(new Ground(kind, p.machine(), p.attempt(), tasks, session, token));
+        grounds.add(new Evidence(kind, p.machine(), p.attempt(), tasks, session, token));
       }
     }
   }
--- a/src/main/java/io/tansystack/workers/Departures.java
+++ b/src/main/java/io/tansystack/workers/WorkerLeaseMonitor.java
@@ -1,12 +1,12 @@
 package io.tansystack.workers;
 
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.ControllerLease;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.OwnLease;
-import io.tansystack.cluster.Ownership;
-import io.tansystack.cluster.World;
-import io.tansystack.http.Loop;
+import io.tansystack.cluster.OwnershipConditions;
+import io.tansystack.http.EventLoop;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
-import io.tansystack.store.StoreClient.Result;
 import io.tansystack.wire.Report;
 import java.time.Duration;
 import java.util.List;
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Declares machines gone whose workers' leases have run out unanswered, by removing their records. */
-final class Departures {
-  private static final Logger log = LoggerFactory.getLogger(Departures.class);
+final class WorkerLeaseMonitor {
+  private static final Logger log = LoggerFactory.getLogger(WorkerLeaseMonitor.class);
 
   /** Workers try one controller after the other, and each report has 4 s. */
   private static final Duration COME_BACK = Duration.ofSeconds(10);
@@ -26,18 +26,18 @@
   /** Timers fire in steps, and late. */
   private static final Duration MARGIN = Duration.ofSeconds(1);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final StoreClient store;
-  private final World world;
-  private final OwnLease lease;
+  private final ClusterState world;
+  private final ControllerLease lease;
   private final String label;
   private final Duration workerLease;
 
-  Departures(
-      Loop loop,
+  WorkerLeaseMonitor(
+      EventLoop loop,
       StoreClient store,
-      World world,
-      OwnLease lease,
+      ClusterState world,
+      ControllerLease lease,
       String label,
       Duration workerLease) {
     this.loop = loop;
@@ -71,16 +71,16 @@
     machine.claiming = true;
     machine.goneVersion = record.version();
     store.commitUrgent(
-        Ownership.held(world, record, label),
+        OwnershipConditions.held(world, record, label),
         List.of(world.gone(machine.name)),
         Duration.ofSeconds(2),
         (result, revision) -> {
           machine.claiming = false;
-          boolean refused = result == Result.REFUSED || result == Result.MALFORMED;
-          if (result == Result.CONFLICT || (refused && !doubtful)) {
+          boolean refused = result == CommitResult.REFUSED || result == CommitResult.MALFORMED;
+          if (result == CommitResult.CONFLICT || (refused && !doubtful)) {
             machine.goneVersion = -1; // It was not applied and won't be.
           }
-          if (result == Result.DONE) {
+          if (result == CommitResult.DONE) {
             log.warn(
                 "gone machine={} because=its lease has run out unanswered {}",
                 machine.name,
--- a/src/main/java/io/tansystack/workers/WorkerDesk.java
+++ b/src/main/java/io/tansystack/workers/WorkerManager.java
@@ -1,30 +1,30 @@
 package io.tansystack.workers;
 
 import com.google.common.collect.Sets;
+import io.tansystack.cluster.ClusterState.Job;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.cluster.ClusterStateDelta;
+import io.tansystack.cluster.ControllerLease;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.OwnLease;
-import io.tansystack.cluster.TimeOfDay;
-import io.tansystack.cluster.Touched;
-import io.tansystack.cluster.World.Job;
-import io.tansystack.cluster.World;
-import io.tansystack.http.HttpCaller;
+import io.tansystack.cluster.WallClockConverter;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
 import io.tansystack.http.HttpServer.Reply;
-import io.tansystack.http.Loop;
-import io.tansystack.recovery.OrderPace;
+import io.tansystack.recovery.CommandThrottle;
 import io.tansystack.recovery.Reconciliation;
-import io.tansystack.recovery.Recovery;
-import io.tansystack.recovery.Start;
+import io.tansystack.recovery.RecoveryContext;
+import io.tansystack.recovery.StartupLogger;
 import io.tansystack.store.StoreClient;
 import io.tansystack.wire.Addresses;
-import io.tansystack.wire.Answers;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
 import io.tansystack.wire.Command;
+import io.tansystack.wire.InvalidMessageException;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
-import io.tansystack.wire.Malformed;
 import io.tansystack.wire.Report;
-import io.tansystack.wire.ReportHead;
+import io.tansystack.wire.ReportHeader;
+import io.tansystack.wire.Responses;
+import io.tansystack.wire.ThrottledLogger;
 import java.time.Duration;
 import java.util.Collection;
 import java.util.List;
@@ -38,70 +38,71 @@
 /**
  * The owner's side of the machines: claims, answers to reports, and commands.
  *
- * <p>A machine's token is that of {@link World#token}, so every claim has a higher one. Commands go out
+ * <p>A machine's token is that of {@link ClusterState#token}, so every claim has a higher one. Commands go out
  * by {@code /orders} alone, one request at a time for each machine, and only while the newest report
  * shows the current token: then every command sent under an earlier one is void. What to send follows
  * from the records and that report; nothing needs to be remembered of what was sent before. A request
  * without an answer may still arrive, so it is followed by a new claim, whose token makes it void.
  */
-public final class WorkerDesk {
+public final class WorkerManager {
   /** More machines than this part falling silent at once speaks of us or the network, not of them. */
   public static final double MASS = 0.34;
 
-  private static final Logger log = LoggerFactory.getLogger(WorkerDesk.class);
+  private static final Logger log = LoggerFactory.getLogger(WorkerManager.class);
 
-  private final Malformed malformed = new Malformed(log);
-  private final Loop loop;
-  private final World world;
-  private final OwnLease lease;
+  private final ThrottledLogger malformed = new ThrottledLogger(log);
+  private final EventLoop loop;
+  private final ClusterState world;
+  private final ControllerLease lease;
   private final String label;
   private final String boot;
   private final OwnedMachines machines;
-  private final Silences silences;
+  private final HeartbeatMonitor silences;
   private int lost;
-  private final Claims claims;
-  private final Orders orders;
-  private final OrderPace pace;
+  private final MachineClaims claims;
+  private final CommandSender orders;
+  private final CommandThrottle pace;
   private final Duration longestStart;
-  private final Departures departures;
-  private final Telling telling;
-  private final Cancelled cancelled;
+  private final WorkerLeaseMonitor departures;
+  private final MachineViewPublisher telling;
+  private final CancellationTracker cancelled;
 
-  public WorkerDesk(
-      Loop loop,
+  public WorkerManager(
+      EventLoop loop,
       StoreClient store,
-      HttpCaller caller,
-      World world,
-      OwnLease lease,
+      HttpClient caller,
+      ClusterState world,
+      ControllerLease lease,
       String label,
       String boot,
       String zone,
       Duration workerLease,
       double writesPerSecond,
       Predicate<String> unfit,
-      Recovery recovery,
+      RecoveryContext recovery,
       Supplier<Duration> unknownUntil,
-      TimeOfDay timeOfDay,
+      WallClockConverter timeOfDay,
       Function<String, MachineType> types,
-      Function<String, View> views,
-      Consumer<View> publish) {
+      Function<String, MachineView> views,
+      Consumer<MachineView> publish) {
     this.loop = loop;
-    this.cancelled = new Cancelled(world, lease, unknownUntil, timeOfDay);
+    this.cancelled = new CancellationTracker(world, lease, unknownUntil, timeOfDay);
     this.world = world;
     this.lease = lease;
     this.label = label;
     this.boot = boot;
     this.machines = new OwnedMachines(loop, world, lease, label, types, views);
-    this.silences = new Silences(loop.now());
+    this.silences = new HeartbeatMonitor(loop.now());
     this.claims =
-        new Claims(
+        new MachineClaims(
             loop, store, world, label, boot, zone, writesPerSecond, unfit, recovery,
             this::usable, this::accept);
     this.longestStart = recovery.longest();
-    this.pace = new OrderPace(loop, this::tendIfOwned);
-    this.orders = new Orders(loop, caller, world, pace, this::take, m -> tendIfOwned(m.name));
-    this.departures = new Departures(loop, store, world, lease, label, workerLease);
-    this.telling = new Telling(publish);
+    this.pace = new CommandThrottle(loop, this::tendIfOwned);
+    this.orders =
+        new CommandSender(loop, caller, world, pace, this::take, m -> tendIfOwned(m.name));
+    this.departures = new WorkerLeaseMonitor(loop, store, world, lease, label, workerLease);
+    this.telling = new MachineViewPublisher(publish);
   }
 
   /** This process stood still, or could not answer: no machine is to be judged by that time. */
@@ -128,10 +129,11 @@
    */
   public void report(byte[] body, Reply reply) {
     if (!lease.valid()) {
-      reply.send(503, Cbor.encode(Answers.error("not entitled to act now")), Claims.COME_AGAIN_S);
+      reply.send(
+          503, Cbor.encode(Responses.error("not entitled to act now")), MachineClaims.COME_AGAIN_S);
       return;
     }
-    ReportHead head = ReportHead.read(body);
+    ReportHeader head = ReportHeader.read(body);
     MachineRecord known = head == null ? null : world.machine(head.machine());
     if (known != null && !mine(known) && claims.awaits(known, reply)) {
       return;
@@ -140,9 +142,9 @@
     try {
       OwnedMachine machine = head == null ? null : machines.get(head.machine());
       report = machine == null ? Report.read(body) : machine.read(head, body);
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       malformed.tell("unreadable report", e.getMessage());
-      reply.send(400, Cbor.encode(Answers.error(e.getMessage())));
+      reply.send(400, Cbor.encode(Responses.error(e.getMessage())));
       return;
     }
     MachineRecord record = world.machine(report.machine());
@@ -157,21 +159,21 @@
     long token = world.token(record);
     if (report.token() > token) {
       // Somebody has claimed it since; our copy of the records is about to say so.
-      reply.send(503, Cbor.encode(Answers.error("a later claim exists")));
+      reply.send(503, Cbor.encode(Responses.error("a later claim exists")));
       return;
     }
     Duration now = loop.now();
     OwnedMachine machine = machines.of(record);
     if (!usable(record)) {
       if (machine.claiming) {
-        reply.send(503, Cbor.encode(Answers.error("it is being declared gone")));
+        reply.send(503, Cbor.encode(Responses.error("it is being declared gone")));
       } else {
         claims.inTurn(record, report, reply);
       }
       return;
     }
     if (cancelled.leftToItsLease(machine, report, token)) {
-      reply.send(503, Cbor.encode(Answers.error("cancelled work can't be stopped there")));
+      reply.send(503, Cbor.encode(Responses.error("cancelled work can't be stopped there")));
     } else {
       if (machine.answeredUnder != token) {
         log.info(
@@ -184,7 +186,7 @@
       }
       machine.answered(report, token, now);
       if (machine.latest == null) {
-        lost += Start.lost(world.placedOn(record.name()), report.session());
+        lost += StartupLogger.lost(world.placedOn(record.name()), report.session());
       }
       reply.send(200, machine.answer(token));
     }
@@ -193,12 +195,12 @@
   }
 
   /** How far this controller's machines are since it started. */
-  public Start.Standing standing() {
+  public StartupLogger.StartupCounts standing() {
     int heard = 0;
     for (OwnedMachine machine : machines.all()) {
       heard += machine.latest == null ? 0 : 1;
     }
-    return new Start.Standing(
+    return new StartupLogger.StartupCounts(
         machines.size(),
         heard,
         pace.waiting(),
@@ -221,7 +223,7 @@
     machine.take(report);
     try {
       machine.address = Addresses.parse(report.address());
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       malformed.tell("machine=" + machine.name + " can't be given commands", e.getMessage());
       machine.address = null;
     }
@@ -238,7 +240,7 @@
    * true, and commands may follow. Looking at all machines for each change is what a large cluster
    * can't afford; what is due by time alone is found by the tick.
    */
-  public void worldChanged(Touched touched) {
+  public void worldChanged(ClusterStateDelta touched) {
     cancelled.worldChanged(touched);
     claims.worldChanged();
     if (touched.controllers() && world.alive(label, boot) && machines.isEmpty()) {
@@ -265,7 +267,7 @@
     for (MachineRecord record : world.machines().values()) {
       if (mine(record)) {
         machines.of(record);
-        usual += OrderPace.usual(world.placedOn(record.name()));
+        usual += CommandThrottle.usual(world.placedOn(record.name()));
       }
     }
     if (usual > 0) {
@@ -352,7 +354,8 @@
     boolean shown = latest.token() == token;
     boolean quiet = !machine.ordersInFlight;
     Reconciliation difference = shown && quiet ? orders.difference(machine) : null;
-    List<View.Void> voids = difference == null ? List.of() : Orders.voids(difference);
+    List<MachineView.AbsentAttempt> voids =
+        difference == null ? List.of() : CommandSender.voids(difference);
     telling.tell(machine, token, voids, silences.of(machine, now), now);
     boolean reachable = quiet && machine.address != null && now.compareTo(machine.quietUntil) >= 0;
     if (reachable && difference != null) {
@@ -364,7 +367,7 @@
   }
 
   /** What the others were last told of each machine: one that starts anew needs all of it. */
-  public List<View> told() {
+  public List<MachineView> told() {
     return machines.told();
   }
 
--- a/src/test/java/io/tansystack/cluster/Histories.java
+++ b/src/test/java/io/tansystack/cluster/ChangeSequences.java
@@ -1,18 +1,18 @@
 package io.tansystack.cluster;
 
-import io.tansystack.wire.StoreWire.Change;
-import io.tansystack.wire.StoreWire.Condition;
+import io.tansystack.wire.StoreProtocol.Change;
+import io.tansystack.wire.StoreProtocol.Condition;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** Changes of records in the order in which they happened, for tests that walk through what may happen. */
-final class Histories {
-  private Histories() {}
+final class ChangeSequences {
+  private ChangeSequences() {}
 
   /** The copy of a controller that has seen all of it. */
-  static World copy(List<Change> history) {
-    World world = new World(touched -> {});
+  static ClusterState copy(List<Change> history) {
+    ClusterState world = new ClusterState(touched -> {});
     world.changes(history, revision(history));
     return world;
   }
--- a/src/test/java/io/tansystack/cluster/HeirsTest.java
+++ b/src/test/java/io/tansystack/cluster/FailoverRecordTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.wire.StoreWire.Change;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Change;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -19,7 +19,7 @@
  * other and declare it gone, each step decided from a copy of any age, that is, delayed for as long as
  * one likes, to six steps from nothing and from a machine that is owned.
  */
-class HeirsTest {
+class FailoverRecordTest {
   private static final int DEPTH = 6;
   private static final String M = "n-1";
   private static final List<String> LABELS = List.of("c", "d");
@@ -41,19 +41,19 @@
     return history.stream().filter(change -> change.version() <= revision).toList();
   }
 
-  private static Condition unchanged(World copy) {
+  private static Condition unchanged(ClusterState copy) {
     MachineRecord record = copy.machine(M);
-    return record == null ? new Condition(World.machineKey(M), 0) : record.condition();
+    return record == null ? new Condition(ClusterState.machineKey(M), 0) : record.condition();
   }
 
   /** What a controller asks for that has this copy; it may have ended meanwhile. */
-  private static List<Txn> possible(World copy, String me) {
+  private static List<Txn> possible(ClusterState copy, String me) {
     List<Txn> txns = new ArrayList<>();
     txns.add(
         new Txn(
             "registers " + me,
             List.of(),
-            Ownership.registration(me, me, "a", 0)));
+            OwnershipConditions.registration(me, me, "a", 0)));
     if (!copy.alive(me)) {
       return txns;
     }
@@ -63,7 +63,7 @@
         new Txn(
             "claims",
             List.of(unchanged(copy)),
-            List.of(new Write(World.machineKey(M), claimed.write(), 0))));
+            List.of(new Write(ClusterState.machineKey(M), claimed.write(), 0))));
     MachineRecord record = copy.machine(M);
     if (record == null) {
       return txns;
@@ -72,24 +72,24 @@
       txns.add(
           new Txn(
               "gone",
-              Ownership.held(copy, record, me),
+              OwnershipConditions.held(copy, record, me),
               List.of(copy.gone(M))));
     } else if (!copy.alive(record.owner())) {
       txns.add(
           new Txn(
               "heir of " + record.claimant(),
-              Ownership.left(copy, record, me),
+              OwnershipConditions.left(copy, record, me),
               List.of(
                   new Write(
-                      World.heirsKey(record.claimant()),
-                      Heirs.write(Map.of(Heirs.ELSEWHERE, List.of(me))),
+                      ClusterState.heirsKey(record.claimant()),
+                      FailoverRecord.write(Map.of(FailoverRecord.ELSEWHERE, List.of(me))),
                       0))));
     }
     return txns;
   }
 
   private static Grant grant(List<Change> history) {
-    World world = Histories.copy(history);
+    ClusterState world = ChangeSequences.copy(history);
     MachineRecord record = world.machine(M);
     return record != null && world.alive(record.owner())
         ? new Grant(record.owner(), world.token(record))
@@ -98,19 +98,25 @@
 
   private void walk(List<Change> history) {
     histories++;
-    long revision = Histories.revision(history);
+    long revision = ChangeSequences.revision(history);
     if (revision == depth) {
       return;
     }
-    Map<String, Change> present = Histories.present(history);
+    Map<String, Change> present = ChangeSequences.present(history);
     for (String label : LABELS) {
-      if (present.containsKey(World.controllerKey(label))) {
-        apply(history, 0, new Txn("ends", List.of(), List.of(new Write(World.controllerKey(label), null, 0))));
+      if (present.containsKey(ClusterState.controllerKey(label))) {
+        apply(
+            history,
+            0,
+            new Txn(
+                "ends",
+                List.of(),
+                List.of(new Write(ClusterState.controllerKey(label), null, 0))));
       }
       for (long age = 0; age <= revision; age++) {
-        for (Txn txn : possible(Histories.copy(upTo(history, revision - age)), label)) {
+        for (Txn txn : possible(ChangeSequences.copy(upTo(history, revision - age)), label)) {
           boolean holds =
-              txn.conditions.stream().allMatch(c -> Histories.holds(c, present));
+              txn.conditions.stream().allMatch(c -> ChangeSequences.holds(c, present));
           if (holds) {
             apply(history, age, txn);
           }
@@ -120,7 +126,7 @@
   }
 
   private void apply(List<Change> history, long age, Txn txn) {
-    long revision = Histories.revision(history) + 1;
+    long revision = ChangeSequences.revision(history) + 1;
     List<Change> next = new ArrayList<>(history);
     txn.writes.forEach(w -> next.add(new Change(w.key(), w.value(), revision)));
     if (!seen.add(next)) {
@@ -134,14 +140,15 @@
         assertEquals(decided, grant(upTo(history, r)), "somebody else held it meanwhile: " + next);
       }
     }
-    MachineRecord record = Histories.copy(next).machine(M);
+    MachineRecord record = ChangeSequences.copy(next).machine(M);
     if (record != null && txn.kind.equals("registers " + record.claimant())) {
       takenBack += before == null || !before.owner.equals(record.claimant()) ? 1 : 0;
       assertEquals(record.claimant(), record.owner(), "back with its claimant: " + next);
     }
     if (txn.kind.startsWith("heir of ")) {
       String claimant = txn.kind.substring("heir of ".length());
-      assertFalse(Histories.copy(history).alive(claimant), "taken from one that is back: " + next);
+      assertFalse(
+          ChangeSequences.copy(history).alive(claimant), "taken from one that is back: " + next);
     }
     Grant after = grant(next);
     if (after != null && !after.equals(before)) {
@@ -162,13 +169,13 @@
     // And on from where both have registered and one has claimed it.
     List<Change> from = new ArrayList<>();
     for (String label : LABELS) {
-      long revision = Histories.revision(from) + 1;
-      Ownership.registration(label, label, "a", 0)
+      long revision = ChangeSequences.revision(from) + 1;
+      OwnershipConditions.registration(label, label, "a", 0)
           .forEach(w -> from.add(new Change(w.key(), w.value(), revision)));
     }
     MachineRecord claimed =
         new MachineRecord(M, "c", "127.0.0.1:1", "g8", "a", false, false, 0, false);
-    from.add(new Change(World.machineKey(M), claimed.write(), 3));
+    from.add(new Change(ClusterState.machineKey(M), claimed.write(), 3));
     depth = 3 + DEPTH;
     walk(from);
     assertTrue(histories > 3000, histories + " histories");
@@ -179,9 +186,13 @@
 
   @Test
   void heirsAreOfTheMachinesZoneWhereTheyCanBe() throws Exception {
-    Heirs heirs =
-        Heirs.read(
-            Heirs.write(Map.of("a", List.of("c"), "b", List.of("d", "e"), Heirs.ELSEWHERE, List.of("f"))),
+    FailoverRecord heirs =
+        FailoverRecord.read(
+            FailoverRecord.write(
+                Map.of(
+                    "a", List.of("c"),
+                    "b", List.of("d", "e"),
+                    FailoverRecord.ELSEWHERE, List.of("f"))),
             9);
     Set<String> ofB = new HashSet<>();
     for (int i = 0; i < 50; i++) {
--- a/src/test/java/io/tansystack/cluster/MachinesTest.java
+++ b/src/test/java/io/tansystack/cluster/MachineRegistryTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.wire.StoreWire.Change;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Change;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -21,7 +21,7 @@
  * and by the cloud, removals of what is needless, each decided from a copy of any age, that is, each
  * delayed for as long as one likes; and a copy loaded in two pages of different age after each step.
  */
-class MachinesTest {
+class MachineRegistryTest {
   private static final int DEPTH = 6;
   private static final String M = "n-1";
   private static final String N = "n-2";
@@ -38,32 +38,35 @@
   }
 
   /** All that a controller with this copy may ask for. */
-  private static List<Txn> possible(World copy) {
+  private static List<Txn> possible(ClusterState copy) {
     List<Txn> txns = new ArrayList<>();
     for (String owner : List.of("c", "d")) {
       if (copy.machine(M) == null && copy.machineVersion(M) == 0) {
         List<Condition> conditions = new ArrayList<>();
-        conditions.add(new Condition(World.lotKey(owner), 0));
+        conditions.add(new Condition(ClusterState.lotKey(owner), 0));
         List<MachineRecord> records = new ArrayList<>();
         for (String name : List.of(M, N)) {
           if (copy.machine(name) == null && copy.machineVersion(name) == 0) {
-            conditions.add(new Condition(World.machineKey(name), 0));
+            conditions.add(new Condition(ClusterState.machineKey(name), 0));
             records.add(claimed(name, owner));
           }
         }
         txns.add(
-            new Txn("lot", conditions, new Write(World.lotKey(owner), World.lot(records), 0)));
+            new Txn(
+                "lot",
+                conditions,
+                new Write(ClusterState.lotKey(owner), ClusterState.lot(records), 0)));
       }
       MachineRecord record = copy.machine(M);
       Condition unchanged =
           record == null
-              ? new Condition(World.machineKey(M), copy.machineVersion(M))
+              ? new Condition(ClusterState.machineKey(M), copy.machineVersion(M))
               : record.condition();
       txns.add(
           new Txn(
               "claim",
               List.of(unchanged),
-              new Write(World.machineKey(M), claimed(M, owner).write(), 0)));
+              new Write(ClusterState.machineKey(M), claimed(M, owner).write(), 0)));
     }
     for (String name : List.of(M, N)) {
       MachineRecord record = copy.machine(name);
@@ -83,14 +86,16 @@
     if (history.size() == DEPTH) {
       return;
     }
-    Map<String, Change> present = Histories.present(history);
+    Map<String, Change> present = ChangeSequences.present(history);
     for (int age = 0; age <= history.size(); age++) {
-      for (Txn txn : possible(Histories.copy(history.subList(0, history.size() - age)))) {
+      for (Txn txn : possible(ChangeSequences.copy(history.subList(0, history.size() - age)))) {
         boolean reused =
             txn.kind.equals("lot")
                 && history.stream().anyMatch(c -> c.key().equals(txn.write.key()));
         boolean nothing = txn.write.value() == null && !present.containsKey(txn.write.key());
-        if (reused || nothing || !txn.conditions.stream().allMatch(c -> Histories.holds(c, present))) {
+        if (reused
+            || nothing
+            || !txn.conditions.stream().allMatch(c -> ChangeSequences.holds(c, present))) {
           continue;
         }
         List<Change> next = new ArrayList<>(history);
@@ -104,8 +109,8 @@
   }
 
   private void step(String kind, List<Change> history, List<Change> next) {
-    World before = Histories.copy(history);
-    World after = Histories.copy(next);
+    ClusterState before = ChangeSequences.copy(history);
+    ClusterState after = ChangeSequences.copy(next);
     String what = kind + " after " + history;
     switch (kind) {
       case "removal" -> {
@@ -133,26 +138,26 @@
   }
 
   private void invariants(List<Change> history) {
-    Map<String, Change> present = Histories.present(history);
-    World now = Histories.copy(history);
+    Map<String, Change> present = ChangeSequences.present(history);
+    ClusterState now = ChangeSequences.copy(history);
     List<MachineRecord> counted = new ArrayList<>();
     for (int r = 0; r <= history.size(); r++) {
-      counted.add(Histories.copy(history.subList(0, r)).machine(M));
+      counted.add(ChangeSequences.copy(history.subList(0, r)).machine(M));
     }
     for (int r = 0; r <= history.size(); r++) {
       MachineRecord then = counted.get(r);
       boolean throughout = counted.subList(r, counted.size()).stream().allMatch(Objects::nonNull);
-      if (then != null && throughout && Histories.holds(then.condition(), present)) {
+      if (then != null && throughout && ChangeSequences.holds(then.condition(), present)) {
         assertEquals(then, now.machine(M), "nothing has happened to it since " + r + ": " + history);
       }
-      Map<String, Change> early = Histories.present(history.subList(0, r));
+      Map<String, Change> early = ChangeSequences.present(history.subList(0, r));
       for (int late = r; late <= history.size(); late++) {
         List<Change> pages = new ArrayList<>();
         early.values().stream().filter(c -> c.key().contains("lots/")).forEach(pages::add);
-        Histories.present(history.subList(0, late)).values().stream()
+        ChangeSequences.present(history.subList(0, late)).values().stream()
             .filter(c -> c.key().contains("machines/"))
             .forEach(pages::add);
-        World loaded = new World(touched -> {});
+        ClusterState loaded = new ClusterState(touched -> {});
         loaded.snapshot(pages, history.subList(r, late), late);
         assertEquals(counted.get(late), loaded.machine(M), "pages of " + r + " and " + late + " of " + history);
         loaded.changes(history.subList(late, history.size()), history.size());
--- a/src/test/java/io/tansystack/cluster/PlannersTest.java
+++ b/src/test/java/io/tansystack/cluster/PlannerElectionTest.java
@@ -2,14 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.tansystack.cluster.World.ControllerRecord;
+import io.tansystack.cluster.ClusterState.ControllerRecord;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class PlannersTest {
+class PlannerElectionTest {
   /**
    * Each live controller is given as label, zone and version of its record; the fleet by how many machines
    * there are and whether one controller holds all slots.
@@ -41,6 +41,7 @@
     String[] cluster = fleet.trim().split(" ");
     assertEquals(
         List.of(expected.trim().split(" ")),
-        Planners.choose(records, size, Integer.parseInt(cluster[0]), cluster[1].equals("yes")));
+        PlannerElection.choose(
+            records, size, Integer.parseInt(cluster[0]), cluster[1].equals("yes")));
   }
 }
--- a/src/test/java/io/tansystack/cluster/IntakesTest.java
+++ b/src/test/java/io/tansystack/cluster/SubmissionBatchesTest.java
@@ -3,27 +3,27 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.cluster.World.Job;
+import io.tansystack.cluster.ClusterState.Job;
 import io.tansystack.records.JobRecord;
 import io.tansystack.records.TaskSet;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
-import io.tansystack.wire.StoreWire.Change;
+import io.tansystack.wire.StoreProtocol.Change;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What stands for a job that several records tell of, in every order in which they may be seen. */
-class IntakesTest {
+class SubmissionBatchesTest {
   private static final String ID = "wk-000001";
 
   /** The number of tasks tells which description it is. */
   private static JobRecord described(String id, int tasks) {
     JobSpec spec =
         new JobSpec(
-            id, "c", "t", Shape.ARRAY, Priority.LOW, tasks, 1, 0, 1, "i", 1, null, null, false,
+            id, "c", "t", JobKind.ARRAY, Priority.LOW, tasks, 1, 0, 1, "i", 1, null, null, false,
             false, true, 10, 0, 0, null);
     return JobRecord.created(spec, 5);
   }
@@ -37,19 +37,19 @@
     int tasks = Integer.parseInt(text.substring(3, text.indexOf('@')));
     long version = Long.parseLong(text.substring(text.indexOf('@') + 1));
     JobRecord record = described(ID, tasks);
-    String intake = World.intakeKey("x-" + tasks);
+    String intake = ClusterState.intakeKey("x-" + tasks);
     ObjectNode value =
         switch (text.substring(0, 3)) {
           case "own" -> record.write();
           case "put" ->
               record.placed(List.of(new JobRecord.Assignment("n-1", 1, TaskSet.range(0, 1)))).write();
           case "end" -> record.cancelled(1).write();
-          default -> World.intake(List.of(record));
+          default -> ClusterState.intake(List.of(record));
         };
     return switch (text.substring(0, 3)) {
       case "in_" -> new Change(intake, value, version);
       case "del" -> new Change(intake, null, version);
-      default -> new Change(World.jobKey(ID), value, version);
+      default -> new Change(ClusterState.jobKey(ID), value, version);
     };
   }
 
@@ -74,7 +74,7 @@
     "in_4@7 del4@8,                     4,0,0",
   })
   void theEarliestCountsUntilTheJobHasGoneOn(String changes, String tasks, long version, int over) {
-    World world = new World(touched -> {});
+    ClusterState world = new ClusterState(touched -> {});
     List<Change> all = new ArrayList<>();
     for (String change : changes.split(" ")) {
       all.add(change(change));
--- a/src/test/java/io/tansystack/cluster/TimeOfDayTest.java
+++ b/src/test/java/io/tansystack/cluster/WallClockConverterTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.sim.SimLoop;
+import io.tansystack.sim.SimEventLoop;
 import java.time.Duration;
 import java.time.Instant;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What another clock showed proves that something was earlier, and never that it was earlier than it was. */
-class TimeOfDayTest {
+class WallClockConverterTest {
   private static final Duration SKEW = Duration.ofMillis(250);
 
   /** By how much the writer's clock and this one's are wrong; how long ago it was written; what is proven. */
@@ -20,12 +20,13 @@
     "0, 0, 500, 0", "0, 0, 0, 0", "250, -250, 0, 0", "-250, 250, 0, 0", "-250, 250, 100, 100"
   })
   void isNeverTakenForOlderThanItIs(long writerMs, long ownMs, long agoMs, long provenMs) {
-    SimLoop loop = new SimLoop();
+    SimEventLoop loop = new SimEventLoop();
     long written = loop.now().toMillis() + writerMs;
     Duration then = loop.now();
     loop.runFor(Duration.ofMillis(agoMs));
-    TimeOfDay timeOfDay =
-        new TimeOfDay(loop, () -> Instant.ofEpochMilli(loop.now().toMillis() + ownMs), SKEW);
+    WallClockConverter timeOfDay =
+        new WallClockConverter(
+            loop, () -> Instant.ofEpochMilli(loop.now().toMillis() + ownMs), SKEW);
     Duration latest = timeOfDay.latest(written);
     assertEquals(Duration.ofMillis(provenMs), loop.now().minus(latest));
     assertTrue(latest.compareTo(then) >= 0);
--- a/src/test/java/io/tansystack/emulator/EmulatedStoreTest.java
+++ b/src/test/java/io/tansystack/emulator/EmulatedStoreTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.sim.SimLoop;
+import io.tansystack.sim.SimEventLoop;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.StoreWire;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
+import io.tansystack.wire.StoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,12 +15,12 @@
 
 /** What the emulated state service answers beyond what the simulated cluster already relies on. */
 class EmulatedStoreTest {
-  private final SimLoop loop = new SimLoop();
+  private final SimEventLoop loop = new SimEventLoop();
   private final EmulatedStore store = new EmulatedStore(loop, StoreLimits.none(), () -> false);
 
   private int put(String key, long version) throws Exception {
     byte[] body =
-        StoreWire.txn(
+        StoreProtocol.txn(
             List.of(new Condition(key, version)), List.of(new Write(key, Cbor.map(), 0)));
     int[] status = {0};
     store.handle("POST", "/commit", Cbor.decodeMap(body), (s, map) -> status[0] = s);
--- a/src/test/java/io/tansystack/emulator/RuleJudgeTest.java
+++ b/src/test/java/io/tansystack/emulator/RuleCheckerTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.emulator.RuleJudge.Limit;
+import io.tansystack.emulator.RuleChecker.Limit;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import io.tansystack.wire.TaskId;
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Each rule is found broken where it is, and not where it isn't. */
-class RuleJudgeTest {
+class RuleCheckerTest {
   private static final String JOB = "wk-000001";
 
-  private final RuleJudge judge = new RuleJudge(Map.of("team", new Limit(4, 0)));
+  private final RuleChecker judge = new RuleChecker(Map.of("team", new Limit(4, 0)));
 
   @BeforeEach
   void submit() {
@@ -28,8 +28,8 @@
 
   private static JobSpec spec(String id) {
     return new JobSpec(
-        id, "batch", "team", Shape.ARRAY, Priority.LOW, 10, 2, 0, 1, "image", 1, null, null, false,
-        false, false, 10, 0, 0, null);
+        id, "batch", "team", JobKind.ARRAY, Priority.LOW, 10, 2, 0, 1, "image", 1, null, null,
+        false, false, false, 10, 0, 0, null);
   }
 
   private static TaskId task(int index) {
@@ -101,7 +101,7 @@
   void aRunInWhichNothingBeganIsBroken() {
     judge.atTheEnd();
     assertEquals(1, judge.brokenCount());
-    RuleJudge other = new RuleJudge(Map.of());
+    RuleChecker other = new RuleChecker(Map.of());
     other.began("n-1", task(0));
     other.atTheEnd();
     assertEquals(0, other.brokenCount());
--- a/src/test/java/io/tansystack/fleet/BootEstimateTest.java
+++ b/src/test/java/io/tansystack/fleet/BootTimeEstimatorTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class BootEstimateTest {
+class BootTimeEstimatorTest {
   /**
    * Ages of the machines that are waited for, and how long earlier ones took, of a type that is said
    * to boot in 40 s. What is asked is about the first of them.
@@ -24,7 +24,7 @@
           the cloud is slow, but in the end  | 261 90 90 90   |             | true  | true
           """)
   void late(String name, String ages, String seen, boolean counts, boolean hopeless) {
-    BootEstimate boots = new BootEstimate();
+    BootTimeEstimator boots = new BootTimeEstimator();
     if (seen != null) {
       for (String time : seen.trim().split(" ")) {
         boots.cameUp("t", Double.parseDouble(time));
--- a/src/test/java/io/tansystack/fleet/StartsTest.java
+++ b/src/test/java/io/tansystack/fleet/JobArrivalsTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.tansystack.cluster.World.Job;
+import io.tansystack.cluster.ClusterState.Job;
 import io.tansystack.records.JobRecord;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
@@ -15,15 +15,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class StartsTest {
+class JobArrivalsTest {
   private static final MachineType TYPE =
       new MachineType("g", 16, 4, 64, 50, 0.5, 10, 3, 40, List.of("a"));
 
   private static Job job(int i) {
     JobSpec spec =
         new JobSpec(
-            "wk-" + i, "c", "t", Shape.ARRAY, Priority.LOW, 8, 1, 1, 1, "img", 2, null, null, false,
-            false, false, 10, 0, 0, null);
+            "wk-" + i, "c", "t", JobKind.ARRAY, Priority.LOW, 8, 1, 1, 1, "img", 2, null, null,
+            false, false, false, 10, 0, 0, null);
     return new Job(JobRecord.created(spec, 0), 1, 0);
   }
 
@@ -37,7 +37,7 @@
     "20, 200, 30, 3, false", "20, 600, 250, 0, false", "2, 30, 60, -1, false"
   })
   void whatComesWhileAMachineBoots(int every, int last, int quiet, int machines, boolean ended) {
-    Starts starts = new Starts();
+    JobArrivals starts = new JobArrivals();
     Map<String, Job> jobs = new TreeMap<>();
     Duration start = Duration.ofSeconds(1000);
     starts.startAnew(start);
--- a/src/test/java/io/tansystack/fleet/MachineWritesTest.java
+++ b/src/test/java/io/tansystack/fleet/MachineRecordWriterTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.http.HttpCaller;
-import io.tansystack.sim.SimLoop;
+import io.tansystack.http.HttpClient;
+import io.tansystack.sim.SimEventLoop;
 import io.tansystack.store.RateBudget;
-import io.tansystack.store.StoreClient.Result;
+import io.tansystack.store.StoreClient.CommitResult;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.StoreWire.Condition;
-import io.tansystack.wire.StoreWire.Write;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.StoreProtocol.Condition;
+import io.tansystack.wire.StoreProtocol.Write;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.HashMap;
@@ -21,16 +21,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Hundreds of machines fall idle at once: what is written of them must not hold up placements. */
-class MachineWritesTest {
+class MachineRecordWriterTest {
   private static final int WRITES_PER_SECOND = 15;
   private static final int MACHINES = 120;
 
-  private final SimLoop loop = new SimLoop();
-  private final Map<String, Result> results = new HashMap<>();
+  private final SimEventLoop loop = new SimEventLoop();
+  private final Map<String, CommitResult> results = new HashMap<>();
   private int transactions;
 
   /** One of them has another version by now, so that whatever names it fails. */
-  private final HttpCaller caller =
+  private final HttpClient caller =
       (to, method, path, body, timeout, outcome) -> {
         transactions++;
         boolean conflict = decode(body).toString().contains("\"ts/machines/n-7\"");
@@ -46,12 +46,12 @@
           new InetSocketAddress("127.0.0.1", 9),
           new RateBudget(WRITES_PER_SECOND, WRITES_PER_SECOND, loop.now()),
           new Random(1));
-  private final MachineWrites writes = new MachineWrites(store);
+  private final MachineRecordWriter writes = new MachineRecordWriter(store);
 
   private static ObjectNode decode(byte[] body) {
     try {
       return Cbor.decodeMap(body);
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -72,7 +72,7 @@
     ask(1);
     writes.startAnew();
     writes.send();
-    assertEquals(Map.of("n-1", Result.REFUSED), results);
+    assertEquals(Map.of("n-1", CommitResult.REFUSED), results);
     assertEquals(0, transactions);
   }
 
@@ -87,15 +87,16 @@
       refused += store.spare() >= 2 && store.reserve(2) ? 0 : 1;
       loop.runFor(Duration.ofMillis(250));
       for (int machine = 0; machine < MACHINES; machine++) {
-        if (results.get("n-" + machine) == Result.CONFLICT && machine != 7) {
+        if (results.get("n-" + machine) == CommitResult.CONFLICT && machine != 7) {
           ask(machine); // As whoever asked does while it still wants it.
         }
       }
     }
     assertTrue(refused <= 20, refused + " of 100 placements had to wait a turn");
-    assertEquals(Result.CONFLICT, results.remove("n-7"));
+    assertEquals(CommitResult.CONFLICT, results.remove("n-7"));
     assertEquals(MACHINES - 1, results.size(), "in what placements left");
-    assertTrue(results.values().stream().allMatch(Result.DONE::equals), "one conflict is its own");
+    assertTrue(
+        results.values().stream().allMatch(CommitResult.DONE::equals), "one conflict is its own");
     assertTrue(transactions < results.size() / 3, transactions + " for " + results.size());
   }
 }
--- a/src/test/java/io/tansystack/fleet/RentalsTest.java
+++ b/src/test/java/io/tansystack/fleet/RentalsTest.java
@@ -5,21 +5,21 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.tansystack.cluster.ClusterState;
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.cluster.World;
-import io.tansystack.http.HttpCaller;
-import io.tansystack.schedule.Plan.Unmet;
+import io.tansystack.http.HttpClient;
+import io.tansystack.schedule.Plan.UnmetDemand;
 import io.tansystack.settings.OperatorSettings;
-import io.tansystack.sim.SimLoop;
+import io.tansystack.sim.SimEventLoop;
 import io.tansystack.store.RateBudget;
 import io.tansystack.store.StoreClient;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
-import io.tansystack.wire.StoreWire.Change;
+import io.tansystack.wire.StoreProtocol.Change;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -37,8 +37,8 @@
   private static final MachineType TYPE =
       new MachineType("small", 4, 0, 16, 50, 1, 1, 0.3, 40, List.of("a", "b"));
 
-  private final SimLoop loop = new SimLoop();
-  private final World world = new World(touched -> {});
+  private final SimEventLoop loop = new SimEventLoop();
+  private final ClusterState world = new ClusterState(touched -> {});
   private final List<String> asked = new ArrayList<>();
   private final InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 9);
   private long revision = 10;
@@ -47,7 +47,7 @@
   private Rentals rentals;
   private Inventory inventory;
 
-  private final HttpCaller caller =
+  private final HttpClient caller =
       (to, method, path, body, timeout, outcome) -> {
         ObjectNode answer = Cbor.map();
         int status = 200;
@@ -86,7 +86,7 @@
   private static ObjectNode decode(byte[] body) {
     try {
       return Cbor.decodeMap(body);
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -99,11 +99,11 @@
   /** Another controller, or another start of one, takes the duty. */
   @BeforeEach
   void newHolder() {
-    change(World.FLEET_KEY, World.holder("c", "boot"));
-    Cloud cloud = new Cloud(caller, loop, nowhere, 4);
+    change(ClusterState.FLEET_KEY, ClusterState.holder("c", "boot"));
+    CloudClient cloud = new CloudClient(caller, loop, nowhere, 4);
     StoreClient store =
         new StoreClient(caller, loop, nowhere, new RateBudget(100, 100, loop.now()), new Random(1));
-    Returns returns = new Returns(loop, cloud, store, world);
+    MachineReleaser returns = new MachineReleaser(loop, cloud, store, world);
     inventory = new Inventory(loop, cloud, world, t -> TYPE, v -> null, returns, LIST_AGE);
     rentals =
         new Rentals(
@@ -117,9 +117,10 @@
   private void lacking(int tasks, double seconds) {
     JobSpec spec =
         new JobSpec(
-            "wk-1", "c", "t", Shape.ARRAY, Priority.NORMAL, 1000, 1, 0, 1, "img", 1, null, "a",
+            "wk-1", "c", "t", JobKind.ARRAY, Priority.NORMAL, 1000, 1, 0, 1, "img", 1, null, "a",
             false, false, false, 20, 0, 0, null);
-    List<Unmet> unmet = tasks == 0 ? List.of() : List.of(new Unmet("wk-1", spec, tasks, false, Map.of()));
+    List<UnmetDemand> unmet =
+        tasks == 0 ? List.of() : List.of(new UnmetDemand("wk-1", spec, tasks, false, Map.of()));
     for (int i = 0; i < seconds * 4; i++) {
       rentals.turn(unmet, loop.now());
       inventory.refresh(loop.now());
--- a/src/test/java/io/tansystack/jobs/FailureMemoryTest.java
+++ b/src/test/java/io/tansystack/jobs/FailureTrackerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class FailureMemoryTest {
+class FailureTrackerTest {
   /**
    * Events a second apart: {@code job/attempt!machine} failed, {@code job+machine} completed. What is
    * asked afterwards is whether job {@code j} is suspected, for how many seconds its next trial waits,
@@ -32,7 +32,7 @@
           """)
   void mistakesAndFaultyMachines(
       String name, String events, boolean suspected, int pauseS, boolean faulty) {
-    FailureMemory memory = new FailureMemory();
+    FailureTracker memory = new FailureTracker();
     Duration now = Duration.ofSeconds(100);
     for (String event : events.trim().split(" ")) {
       now = now.plusSeconds(1);
@@ -56,7 +56,7 @@
   /** What is moved off a machine had better not come back at once, and is under no suspicion for it. */
   @Test
   void aMachineThatReplicasAreMovedOffIsAvoidedForAWhile() {
-    FailureMemory memory = new FailureMemory();
+    FailureTracker memory = new FailureTracker();
     Duration now = Duration.ofSeconds(100);
     memory.failed("j", 0, 1, "bad", Cause.ERROR, now);
     memory.movedOff("j", "bad", now);
--- a/src/test/java/io/tansystack/records/JobRecordTest.java
+++ b/src/test/java/io/tansystack/records/JobRecordTest.java
@@ -8,14 +8,14 @@
 
 import com.fasterxml.jackson.databind.node.TextNode;
 import io.tansystack.records.JobRecord.Assignment;
-import io.tansystack.records.JobRecord.Over;
+import io.tansystack.records.JobRecord.EndedAttempt;
 import io.tansystack.records.JobRecord.Phase;
-import io.tansystack.wire.Answers.JobState;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.InvalidMessageException;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
+import io.tansystack.wire.Responses.JobStatus;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -25,13 +25,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class JobRecordTest {
-  static JobSpec spec(Shape shape, int tasks) {
+  static JobSpec spec(JobKind shape, int tasks) {
     return new JobSpec(
         "wk-000001", "c", "t", shape, Priority.LOW, tasks, 1, 0, 1, "i", 1, null, null, false,
         false, true, 10, 0, 0, null);
   }
 
-  private static JobRecord placed(Shape shape, int tasks) {
+  private static JobRecord placed(JobKind shape, int tasks) {
     return JobRecord.created(spec(shape, tasks), 5)
         .placed(List.of(new Assignment("n-1", 1, TaskSet.range(0, tasks))));
   }
@@ -55,7 +55,7 @@
   @CsvSource({"n-1 2 3 0-4,stop", "n-1 2 3,none", "n-1 2,none", "n-1 2 x 0-4,none", "'',none"})
   void whatIsNoPlacementIsRefused(String text, String kind) throws Exception {
     if (kind.equals("none")) {
-      assertThrows(BadInput.class, () -> Placement.read(TextNode.valueOf(text)));
+      assertThrows(InvalidMessageException.class, () -> Placement.read(TextNode.valueOf(text)));
       return;
     }
     Placement placement = Placement.read(TextNode.valueOf(text + " " + kind));
@@ -74,8 +74,8 @@
     "9,1,n-1,true,false"
   })
   void onlyExactProofsCount(int task, long attempt, String machine, boolean done, boolean counts) {
-    JobRecord before = placed(Shape.ARRAY, 3);
-    JobRecord after = before.absorbed(List.of(new Over(task, attempt, machine, done)));
+    JobRecord before = placed(JobKind.ARRAY, 3);
+    JobRecord after = before.absorbed(List.of(new EndedAttempt(task, attempt, machine, done)));
     if (!counts) {
       assertSame(before, after);
       return;
@@ -87,41 +87,44 @@
 
   @Test
   void doneOnlyWithItsLastTask() {
-    JobRecord record = placed(Shape.ARRAY, 2).absorbed(List.of(new Over(0, 1, "n-1", true)));
+    JobRecord record =
+        placed(JobKind.ARRAY, 2).absorbed(List.of(new EndedAttempt(0, 1, "n-1", true)));
     assertEquals(Phase.ACTIVE, record.phase());
-    record = record.absorbed(List.of(new Over(1, 1, "n-1", true)));
-    assertEquals(JobState.DONE, record.state());
+    record = record.absorbed(List.of(new EndedAttempt(1, 1, "n-1", true)));
+    assertEquals(JobStatus.DONE, record.state());
     assertNull(record.spec(), "a job that is over keeps its outcome alone");
   }
 
   @Test
   void cancelledStaysCancelledAndKeepsPlacementsUntilProof() {
-    JobRecord record = placed(Shape.ARRAY, 1).cancelled(1);
+    JobRecord record = placed(JobKind.ARRAY, 1).cancelled(1);
     assertEquals(1, record.placedCount());
-    record = record.absorbed(List.of(new Over(0, 1, "n-1", true)));
-    assertEquals(JobState.CANCELLED, record.state());
+    record = record.absorbed(List.of(new EndedAttempt(0, 1, "n-1", true)));
+    assertEquals(JobStatus.CANCELLED, record.state());
     assertNull(record.spec());
   }
 
   @Test
   void aServiceTaskThatEndsIsOnlyUnplaced() {
-    JobRecord record = placed(Shape.SERVICE, 1).absorbed(List.of(new Over(0, 1, "n-1", true)));
-    assertEquals(JobState.PENDING, record.state());
+    JobRecord record =
+        placed(JobKind.SERVICE, 1).absorbed(List.of(new EndedAttempt(0, 1, "n-1", true)));
+    assertEquals(JobStatus.PENDING, record.state());
     assertEquals(1, record.unplaced().size());
   }
 
   @Test
   void aGangThatLosesATaskIsStoppedAsAWhole() {
-    JobRecord record = placed(Shape.GANG, 3).absorbed(List.of(new Over(1, 1, "n-1", false)));
+    JobRecord record =
+        placed(JobKind.GANG, 3).absorbed(List.of(new EndedAttempt(1, 1, "n-1", false)));
     assertEquals(2, record.placedCount());
     assertTrue(record.placements().stream().allMatch(Placement::stop));
-    JobRecord done = placed(Shape.GANG, 3).absorbed(List.of(new Over(1, 1, "n-1", true)));
+    JobRecord done = placed(JobKind.GANG, 3).absorbed(List.of(new EndedAttempt(1, 1, "n-1", true)));
     assertEquals(Phase.DONE, done.phase(), "they complete together");
   }
 
   @Test
   void recordsReadBackAsWritten() throws Exception {
-    for (Shape shape : Shape.values()) {
+    for (JobKind shape : JobKind.values()) {
       JobRecord record = placed(shape, 4).stopped("n-1", TaskSet.parse("1-2"));
       byte[] stored = Cbor.encode(record.write());
       assertEquals(record, JobRecord.read(Cbor.decodeMap(stored)));
@@ -139,11 +142,11 @@
     "8192,400", "8192,600", "8192,100000", "16384,1200", "16384,100000", "32768,1200", "32768,100000"
   })
   void theLongestRecordFitsIntoOneValue(int valueBytes, int tasks) {
-    RecordLimit limit = new RecordLimit(valueBytes);
+    RecordSizeLimit limit = new RecordSizeLimit(valueBytes);
     String longName = "x".repeat(limit.description() - 400);
     JobSpec spec =
         new JobSpec(
-            "wk-00000000000000000001", longName, "t", Shape.ARRAY, Priority.LOW, tasks, 1, 0, 1,
+            "wk-00000000000000000001", longName, "t", JobKind.ARRAY, Priority.LOW, tasks, 1, 0, 1,
             "i", 1, null, null, false, false, true, 10, 0, 0, 1000.0);
     assertTrue(limit.accepts(spec));
     // All below the last window is done.
@@ -165,12 +168,12 @@
     assertTrue(limit.allows(record));
     assertTrue(Cbor.jsonSize(record.write()) <= valueBytes);
     for (Assignment part : round) {
-      List<Over> ends = new ArrayList<>();
+      List<EndedAttempt> ends = new ArrayList<>();
       BitSet stop = new BitSet();
       part.tasks().forEach(
           t -> {
             if (t / machines % 3 == 0) {
-              ends.add(new Over(t, 100_000, part.machine(), true));
+              ends.add(new EndedAttempt(t, 100_000, part.machine(), true));
             } else if (t / machines % 3 == 1) {
               stop.set(t);
             }
--- a/src/test/java/io/tansystack/recovery/OwnersTest.java
+++ b/src/test/java/io/tansystack/recovery/OwnerLivenessTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.cluster.World;
+import io.tansystack.cluster.ClusterState;
 import io.tansystack.records.JobRecord;
-import io.tansystack.sim.SimLoop;
+import io.tansystack.sim.SimEventLoop;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
-import io.tansystack.wire.StoreWire.Change;
+import io.tansystack.wire.StoreProtocol.Change;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -19,42 +19,44 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A lease of 18 s, reports every 4 s, records that last 4.5 s; an owner "c" that does not answer. */
-class OwnersTest {
+class OwnerLivenessTest {
   private static final Duration LEASE = Duration.ofSeconds(18);
   private static final Duration REPORT = Duration.ofSeconds(4);
   private static final Duration RECORD = Duration.ofMillis(4500);
 
-  private final SimLoop loop = new SimLoop();
-  private final World world = new World(touched -> {});
+  private final SimEventLoop loop = new SimEventLoop();
+  private final ClusterState world = new ClusterState(touched -> {});
   private long revision;
   private boolean unfit;
   private boolean heard;
   private boolean refuses;
   private boolean silent;
-  private final Owners owners =
-      new Owners(
+  private final OwnerLiveness owners =
+      new OwnerLiveness(
           loop,
           world,
           () -> Instant.ofEpochMilli(loop.now().toMillis()),
           RECORD,
           LEASE,
           REPORT,
-          new Recovery.Contact(c -> unfit, c -> heard, c -> refuses, c -> silent));
+          new RecoveryContext.PeerHealth(c -> unfit, c -> heard, c -> refuses, c -> silent));
 
   private void put(String key, com.fasterxml.jackson.databind.node.ObjectNode value) {
     world.changes(List.of(new Change(key, value, ++revision)), revision);
   }
 
   private void record(String boot) {
-    put(World.controllerKey("c"), boot == null ? null : Cbor.map().put("boot", boot).put("zone", "a"));
+    put(
+        ClusterState.controllerKey("c"),
+        boot == null ? null : Cbor.map().put("boot", boot).put("zone", "a"));
   }
 
   private void acceptedJob() {
     JobSpec spec =
         new JobSpec(
-            "wk-1", "c", "t", Shape.ARRAY, Priority.LOW, 1, 1, 0, 1, "i", 1, null, null, false,
+            "wk-1", "c", "t", JobKind.ARRAY, Priority.LOW, 1, 1, 0, 1, "i", 1, null, null, false,
             false, true, 10, 0, 0, null);
-    put(World.jobKey("wk-1"), JobRecord.created(spec, loop.now().toMillis()).write());
+    put(ClusterState.jobKey("wk-1"), JobRecord.created(spec, loop.now().toMillis()).write());
   }
 
   @ParameterizedTest
@@ -76,9 +78,9 @@
       boolean heard,
       boolean refuses,
       boolean silent,
-      Owners.Verdict first,
+      OwnerLiveness.Verdict first,
       int afterMs,
-      Owners.Verdict then) {
+      OwnerLiveness.Verdict then) {
     acceptedJob();
     if (recorded) {
       record("one");
@@ -97,19 +99,19 @@
     acceptedJob();
     record("one");
     heard = true;
-    assertEquals(Owners.Verdict.HERE, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
     loop.runFor(Duration.ofSeconds(60));
     unfit = true; // It says that it does not hear its workers: theirs is no time to lose.
-    assertEquals(Owners.Verdict.UNFIT, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.UNFIT, owners.verdict("c"));
     record("two"); // It has registered anew, and says that it may not act yet.
-    assertEquals(Owners.Verdict.AWAITED, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.AWAITED, owners.verdict("c"));
     unfit = false;
-    assertEquals(Owners.Verdict.HERE, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
   }
 
   private Duration untilLate() {
     Duration from = loop.now();
-    while (owners.verdict("c") != Owners.Verdict.LATE) {
+    while (owners.verdict("c") != OwnerLiveness.Verdict.LATE) {
       loop.runFor(Duration.ofMillis(100));
       assertTrue(loop.now().minus(from).compareTo(Duration.ofSeconds(60)) < 0);
     }
@@ -128,7 +130,7 @@
     heard = true;
     boolean livesThrough = startsAfterMs == 0;
     if (livesThrough) {
-      assertEquals(Owners.Verdict.HERE, owners.verdict("c"));
+      assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
     }
     Duration ended = loop.now();
     refuses = true;
@@ -159,13 +161,13 @@
     refuses = false;
     unfit = false;
     record("two");
-    assertEquals(Owners.Verdict.HERE, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
     loop.runFor(Duration.ofSeconds(60));
     unfit = true;
     refuses = true;
     record(null);
     // Its record had outlived it by 4.5 s already: by far more than a start has ever taken.
-    assertEquals(Owners.Verdict.LATE, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.LATE, owners.verdict("c"));
   }
 
   @Test
--- a/src/test/java/io/tansystack/recovery/ReconciliationTest.java
+++ b/src/test/java/io/tansystack/recovery/ReconciliationTest.java
@@ -3,19 +3,19 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.cluster.World;
-import io.tansystack.records.JobRecord;
+import io.tansystack.cluster.ClusterState;
 import io.tansystack.records.JobRecord.Assignment;
+import io.tansystack.records.JobRecord;
 import io.tansystack.records.TaskSet;
 import io.tansystack.wire.Command;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
-import io.tansystack.wire.StoreWire.Change;
+import io.tansystack.wire.StoreProtocol.Change;
 import io.tansystack.wire.TaskId;
-import io.tansystack.wire.TaskReport;
 import io.tansystack.wire.TaskReport.Cause;
 import io.tansystack.wire.TaskReport.State;
+import io.tansystack.wire.TaskReport;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -28,14 +28,14 @@
   private static final String M = "n-1";
   private static final int SESSION = 2;
 
-  private static JobSpec spec(String id, Shape shape, Priority priority, double checkpointS) {
+  private static JobSpec spec(String id, JobKind shape, Priority priority, double checkpointS) {
     return new JobSpec(
         id, "c", "t", shape, priority, 4, 1, 0, 1, "i", 1, null, null, false, false, true, 10,
         checkpointS, 3, null);
   }
 
   /** Task 0 of wk-1, attempt 1, as the word says: wanted, to be stopped, cancelled, or not placed. */
-  private static JobRecord record(String said, Shape shape, double checkpointS, int session) {
+  private static JobRecord record(String said, JobKind shape, double checkpointS, int session) {
     JobRecord created = JobRecord.created(spec("wk-1", shape, Priority.NORMAL, checkpointS), 0);
     JobRecord placed = created.placed(List.of(new Assignment(M, session, TaskSet.range(0, 1))));
     return switch (said) {
@@ -47,9 +47,9 @@
     };
   }
 
-  private static Reconciliation reconcile(JobRecord record, Map<Attempt, TaskReport> listed) {
-    World world = new World(touched -> {});
-    world.changes(List.of(new Change(World.jobKey("wk-1"), record.write(), 5)), 5);
+  private static Reconciliation reconcile(JobRecord record, Map<TaskAttempt, TaskReport> listed) {
+    ClusterState world = new ClusterState(touched -> {});
+    world.changes(List.of(new Change(ClusterState.jobKey("wk-1"), record.write(), 5)), 5);
     return Reconciliation.of(SESSION, listed, world.placedOn(M));
   }
 
@@ -92,15 +92,15 @@
     "absent,    2, ARRAY,   0,  -,                 nothing",
   })
   void whatFollows(
-      String said, int session, Shape shape, double checkpointS, String report, String follows) {
-    Map<Attempt, TaskReport> listed = new LinkedHashMap<>();
+      String said, int session, JobKind shape, double checkpointS, String report, String follows) {
+    Map<TaskAttempt, TaskReport> listed = new LinkedHashMap<>();
     if (!report.equals("-")) {
       String[] words = report.split(" ");
       TaskId task = new TaskId("wk-1", 0);
       long attempt = Long.parseLong(words[0]);
       Cause cause = words[2].equals("-") ? null : Cause.valueOf(words[2]);
       listed.put(
-          new Attempt(task, attempt),
+          new TaskAttempt(task, attempt),
           new TaskReport(task, attempt, State.valueOf(words[1]), cause, false));
     }
     Reconciliation first = reconcile(record(said, shape, checkpointS, session), listed);
@@ -110,20 +110,20 @@
 
   @Test
   void theMostUrgentIsLaunchedFirstAndAHaltIsNotRepeatedAtOnce() {
-    World world = new World(touched -> {});
+    ClusterState world = new ClusterState(touched -> {});
     long revision = 1;
     for (Priority priority : List.of(Priority.LOW, Priority.PRODUCTION, Priority.NORMAL)) {
       String id = "wk-" + priority.ordinal();
       JobRecord record =
-          JobRecord.created(spec(id, Shape.ARRAY, priority, 0), 0)
+          JobRecord.created(spec(id, JobKind.ARRAY, priority, 0), 0)
               .placed(List.of(new Assignment(M, SESSION, TaskSet.range(0, 2))));
       world.changes(
-          List.of(new Change(World.jobKey(id), record.write(), revision)), revision);
+          List.of(new Change(ClusterState.jobKey(id), record.write(), revision)), revision);
       revision++;
     }
     TaskId stray = new TaskId("wk-7", 0);
-    Map<Attempt, TaskReport> listed =
-        Map.of(new Attempt(stray, 1), new TaskReport(stray, 1, State.RUNNING, null, false));
+    Map<TaskAttempt, TaskReport> listed =
+        Map.of(new TaskAttempt(stray, 1), new TaskReport(stray, 1, State.RUNNING, null, false));
     Reconciliation all = Reconciliation.of(SESSION, listed, world.placedOn(M));
     assertEquals(Reconciliation.HALTS, all.urgency());
     Reconciliation rest = all.without(attempt -> attempt.task().equals(stray));
--- a/src/test/java/io/tansystack/recovery/StartPaceTest.java
+++ b/src/test/java/io/tansystack/recovery/StartupPacingTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.tansystack.cluster.MachineRecord;
-import io.tansystack.sim.SimLoop;
+import io.tansystack.sim.SimEventLoop;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,11 +21,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a start holds up, and for how long: orders by urgency, decisions by what they compare. */
-class StartPaceTest {
-  private final SimLoop loop = new SimLoop();
+class StartupPacingTest {
+  private final SimEventLoop loop = new SimEventLoop();
   private final Map<String, Integer> lacks = new HashMap<>();
   private final List<String> sent = new ArrayList<>();
-  private final OrderPace pace = new OrderPace(loop, this::tend);
+  private final CommandThrottle pace = new CommandThrottle(loop, this::tend);
   private final Map<String, Integer> urgency = new HashMap<>();
 
   private void tend(String machine) {
@@ -85,8 +85,8 @@
 
   private static JobSpec spec(List<String> types) {
     return new JobSpec(
-        "wk-1", "c", "t", Shape.ARRAY, Priority.LOW, 1, 1, 0, 1, "i", 1, types, null, false, false,
-        true, 10, 0, 0, null);
+        "wk-1", "c", "t", JobKind.ARRAY, Priority.LOW, 1, 1, 0, 1, "i", 1, types, null, false,
+        false, true, 10, 0, 0, null);
   }
 
   /** 20 machines of type small and 20 of type large, recorded before; some more came up since. */
@@ -101,7 +101,7 @@
   })
   void aDecisionWaitsForWhatItCompares(
       int small, int large, boolean forSmall, boolean forLarge, boolean forAny) {
-    Coverage coverage = new Coverage(Duration.ofSeconds(14));
+    FleetCoverage coverage = new FleetCoverage(Duration.ofSeconds(14));
     List<MachineRecord> machines = new ArrayList<>();
     Set<String> heard = new HashSet<>();
     for (int i = 0; i < 20; i++) {
@@ -127,7 +127,7 @@
 
   @Test
   void whatComesUpOrIsLostLaterIsNoMatterOfAStart() {
-    Coverage coverage = new Coverage(Duration.ofSeconds(14));
+    FleetCoverage coverage = new FleetCoverage(Duration.ofSeconds(14));
     Duration now = Duration.ofSeconds(100);
     List<MachineRecord> machines = List.of(machine(0, "small", 11), machine(1, "small", 12));
     coverage.count(machines, name -> false, now);
--- a/src/test/java/io/tansystack/schedule/ConsolidationTest.java
+++ b/src/test/java/io/tansystack/schedule/ConsolidationTest.java
@@ -7,10 +7,10 @@
 import io.tansystack.records.TaskSet;
 import io.tansystack.schedule.Snapshot.JobState;
 import io.tansystack.schedule.Snapshot.MachineState;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -65,7 +65,7 @@
   private static JobState replicas(String id, double cpus, String machine, int tasks) {
     JobSpec spec =
         new JobSpec(
-            id, "c", "t", Shape.SERVICE, Priority.PRODUCTION, tasks, cpus, 0, 1, "img", 2,
+            id, "c", "t", JobKind.SERVICE, Priority.PRODUCTION, tasks, cpus, 0, 1, "img", 2,
             List.of("dear", "cheap"), null, false, false, false, 0, 0, 0, null);
     JobRecord record =
         JobRecord.created(spec, 0)
--- a/src/test/java/io/tansystack/schedule/KeptRoomsTest.java
+++ b/src/test/java/io/tansystack/schedule/IncrementalCapacityTest.java
@@ -3,20 +3,20 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.records.JobRecord;
 import io.tansystack.records.JobRecord.Assignment;
-import io.tansystack.records.JobRecord.Over;
+import io.tansystack.records.JobRecord.EndedAttempt;
+import io.tansystack.records.JobRecord;
 import io.tansystack.records.Placement;
-import io.tansystack.records.RecordLimit;
+import io.tansystack.records.RecordSizeLimit;
 import io.tansystack.records.TaskSet;
-import io.tansystack.schedule.Plan.Stop;
+import io.tansystack.schedule.Plan.Eviction;
 import io.tansystack.schedule.Snapshot.JobState;
 import io.tansystack.schedule.Snapshot.MachineState;
 import io.tansystack.settings.PlatformSettings.Team;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -34,10 +34,10 @@
  * changes of machines, records and plans carried out. More seeds by the property
  * {@code tansystack.seeds}, as {@code FROM-TO}.
  */
-class KeptRoomsTest {
+class IncrementalCapacityTest {
   private static final int STEPS = 60;
   private static final Planner.Bounds BOUNDS =
-      new Planner.Bounds(new RecordLimit(4096), 8, 12);
+      new Planner.Bounds(new RecordSizeLimit(4096), 8, 12);
   private static final List<String> ZONES = List.of("a", "b", "c");
   private static final List<MachineType> TYPES =
       List.of(
@@ -52,7 +52,7 @@
 
   private final Map<String, MachineState> machines = new TreeMap<>();
   private final Map<String, JobState> jobs = new TreeMap<>();
-  private final ClusterRooms kept = new ClusterRooms();
+  private final ClusterCapacity kept = new ClusterCapacity();
   private Random random;
   private int made;
 
@@ -216,10 +216,11 @@
     kept.remove(name);
     for (String id : List.copyOf(jobs.keySet())) {
       JobRecord record = record(id);
-      List<Over> gone = new ArrayList<>();
+      List<EndedAttempt> gone = new ArrayList<>();
       for (Placement placement : record.placements()) {
         if (placement.machine().equals(name) && random.nextInt(3) > 0) {
-          placement.tasks().forEach(t -> gone.add(new Over(t, placement.attempt(), name, false)));
+          placement.tasks().forEach(
+              t -> gone.add(new EndedAttempt(t, placement.attempt(), name, false)));
         }
       }
       replace(id, record.absorbed(gone));
@@ -227,12 +228,12 @@
   }
 
   private void submit() {
-    Shape shape = Shape.values()[random.nextInt(Shape.values().length)];
+    JobKind shape = JobKind.values()[random.nextInt(JobKind.values().length)];
     boolean gpus = random.nextInt(3) == 0;
     String id = "wk-" + String.format("%05d", made++);
-    int tasks = 1 + random.nextInt(shape == Shape.ARRAY ? 30 : 6);
-    boolean sameZone = shape == Shape.GANG && random.nextBoolean();
-    boolean alike = shape == Shape.SERVICE && random.nextInt(4) > 0;
+    int tasks = 1 + random.nextInt(shape == JobKind.ARRAY ? 30 : 6);
+    boolean sameZone = shape == JobKind.GANG && random.nextBoolean();
+    boolean alike = shape == JobKind.SERVICE && random.nextInt(4) > 0;
     JobSpec spec =
         new JobSpec(
             id,
@@ -251,7 +252,7 @@
             sameZone,
             !sameZone && random.nextInt(3) == 0,
             random.nextBoolean(),
-            shape == Shape.SERVICE ? 0 : 10 + random.nextInt(50),
+            shape == JobKind.SERVICE ? 0 : 10 + random.nextInt(50),
             0,
             0,
             null);
@@ -260,7 +261,7 @@
 
   private void finishSome(String id) {
     JobRecord record = record(id);
-    List<Over> over = new ArrayList<>();
+    List<EndedAttempt> over = new ArrayList<>();
     for (Placement placement : record.placements()) {
       boolean done = random.nextInt(3) > 0;
       placement
@@ -268,7 +269,7 @@
           .forEach(
               task -> {
                 if (random.nextBoolean()) {
-                  over.add(new Over(task, placement.attempt(), placement.machine(), done));
+                  over.add(new EndedAttempt(task, placement.attempt(), placement.machine(), done));
                 }
               });
     }
@@ -280,7 +281,7 @@
         .forEach(
             (id, stops) -> {
               JobRecord next = record(id);
-              for (Stop stop : stops) {
+              for (Eviction stop : stops) {
                 next = next.stopped(stop.machine(), stop.tasks());
               }
               replace(id, next);
--- a/src/test/java/io/tansystack/schedule/PlannerTest.java
+++ b/src/test/java/io/tansystack/schedule/PlannerTest.java
@@ -7,17 +7,17 @@
 
 import io.tansystack.records.JobRecord.Assignment;
 import io.tansystack.records.JobRecord;
-import io.tansystack.records.RecordLimit;
+import io.tansystack.records.RecordSizeLimit;
 import io.tansystack.records.TaskSet;
 import io.tansystack.schedule.Snapshot.JobState;
 import io.tansystack.schedule.Snapshot.MachineState;
 import io.tansystack.settings.OperatorSettings;
 import io.tansystack.settings.PlatformSettings.Objective;
 import io.tansystack.settings.PlatformSettings.Team;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -55,7 +55,7 @@
   }
 
   private static JobSpec spec(
-      String id, Shape shape, Priority priority, int tasks, double cpus, double gpus,
+      String id, JobKind shape, Priority priority, int tasks, double cpus, double gpus,
       boolean sameZone, boolean scatter) {
     return new JobSpec(
         id, "c", "t", shape, priority, tasks, cpus, gpus, 1, "img", 2, null, null, sameZone,
@@ -75,7 +75,7 @@
   private Plan plan() {
     return Planner.plan(
         new Snapshot(machines, booting, jobs, teams),
-        new Planner.Bounds(new RecordLimit(8192), 30, 1000));
+        new Planner.Bounds(new RecordSizeLimit(8192), 30, 1000));
   }
 
   private static int placed(Plan plan, String job, String machine) {
@@ -106,7 +106,7 @@
       boolean yCached, double yQueue, double ySlow, String best) {
     machine("x", SMALL, "a", xCached ? Set.of("img") : Set.of(), xQueue, xSlow);
     machine("y", SMALL, "a", yCached ? Set.of("img") : Set.of(), yQueue, ySlow);
-    job(spec("wk-1", Shape.ARRAY, Priority.LOW, 1, 1, 0, false, false), 0);
+    job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 1, 1, 0, false, false), 0);
     assertEquals(1, placed(plan(), "wk-1", best));
   }
 
@@ -120,11 +120,11 @@
     machine("begun", ACCEL, "a", Set.of("img"), 0, slowness);
     machine("other", ACCEL, "a", Set.of("img"), 0, 1);
     machine("whole", ACCEL, "a", Set.of("img"), 0, 1);
-    job(spec("wk-1", Shape.ARRAY, Priority.LOW, 1, 1, 1, false, false), 0,
+    job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 1, 1, 1, false, false), 0,
         new Assignment("begun", 1, TaskSet.range(0, 1)));
-    job(spec("wk-2", Shape.GANG, Priority.HIGH, 1, 8, gangs ? 4 : 1, false, false), 0,
+    job(spec("wk-2", JobKind.GANG, Priority.HIGH, 1, 8, gangs ? 4 : 1, false, false), 0,
         new Assignment("other", 1, TaskSet.range(0, 1)));
-    job(spec("wk-3", Shape.ARRAY, Priority.LOW, 1, 0.5, 1, false, false), 1);
+    job(spec("wk-3", JobKind.ARRAY, Priority.LOW, 1, 0.5, 1, false, false), 1);
     Plan plan = plan();
     assertEquals(1, placed(plan, "wk-3"));
     assertEquals(best.equals("begun"), placed(plan, "wk-3", "begun") == 1);
@@ -139,11 +139,11 @@
     for (int i = 0; i < 3; i++) {
       machine("whole" + i, ACCEL, "a", Set.of("img"), 0, 1);
     }
-    job(spec("wk-1", Shape.ARRAY, Priority.LOW, 1, 1, 1, false, false), 0,
+    job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 1, 1, 1, false, false), 0,
         new Assignment("begun", 1, TaskSet.range(0, 1)));
-    job(spec("wk-2", Shape.GANG, Priority.HIGH, 1, 8, 4, false, false), 0,
+    job(spec("wk-2", JobKind.GANG, Priority.HIGH, 1, 8, 4, false, false), 0,
         new Assignment("gang", 1, TaskSet.range(0, 1)));
-    job(spec("wk-3", Shape.ARRAY, Priority.LOW, tasks, 1, 1, false, false), 1);
+    job(spec("wk-3", JobKind.ARRAY, Priority.LOW, tasks, 1, 1, false, false), 1);
     Plan plan = plan();
     assertEquals(onBegun, placed(plan, "wk-3", "begun"));
     assertEquals(onWhole, placed(plan, "wk-3") - onBegun);
@@ -156,7 +156,7 @@
       machine("a" + i, SMALL, "a");
     }
     machine("b0", SMALL, "b");
-    job(spec("wk-1", Shape.SERVICE, Priority.PRODUCTION, tasks, 4, 0, false, true), 0);
+    job(spec("wk-1", JobKind.SERVICE, Priority.PRODUCTION, tasks, 4, 0, false, true), 0);
     assertEquals(expected, placed(plan(), "wk-1"), "zone b has room for one");
   }
 
@@ -165,12 +165,12 @@
     machine("a0", SMALL, "a");
     machine("b0", SMALL, "b");
     machine("b1", SMALL, "b");
-    job(spec("wk-1", Shape.GANG, Priority.NORMAL, 2, 4, 0, true, false), 0);
+    job(spec("wk-1", JobKind.GANG, Priority.NORMAL, 2, 4, 0, true, false), 0);
     Plan plan = plan();
     assertEquals(1, placed(plan, "wk-1", "b0"));
     assertEquals(1, placed(plan, "wk-1", "b1"));
     jobs.clear();
-    job(spec("wk-2", Shape.GANG, Priority.NORMAL, 3, 4, 0, true, false), 0);
+    job(spec("wk-2", JobKind.GANG, Priority.NORMAL, 3, 4, 0, true, false), 0);
     assertEquals(0, placed(plan(), "wk-2"));
   }
 
@@ -178,7 +178,7 @@
   void theNextGangAttemptWaitsForTheLast() {
     machine("a0", SMALL, "a");
     machine("a1", SMALL, "a");
-    JobState gang = job(spec("wk-1", Shape.GANG, Priority.NORMAL, 1, 4, 0, false, false), 0,
+    JobState gang = job(spec("wk-1", JobKind.GANG, Priority.NORMAL, 1, 4, 0, false, false), 0,
         new Assignment("a0", 1, TaskSet.range(0, 1)));
     jobs.clear();
     jobs.add(new JobState("wk-1", gang.record().allStopped(), true, true, false, 0, Set.of()));
@@ -192,10 +192,10 @@
     machine("a0", SMALL, "a");
     machine("a1", SMALL, "a");
     if (already > 0) {
-      job(spec("wk-9", Shape.ARRAY, Priority.LOW, already, 1, 0, false, false), 0,
+      job(spec("wk-9", JobKind.ARRAY, Priority.LOW, already, 1, 0, false, false), 0,
           new Assignment("gone", 1, TaskSet.range(0, already)));
     }
-    job(spec("wk-1", Shape.ARRAY, Priority.LOW, 4, 1, 0, false, false), 1);
+    job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 4, 1, 0, false, false), 1);
     assertEquals(expected, placed(plan(), "wk-1"));
   }
 
@@ -207,9 +207,9 @@
   })
   void preemptionByPriorityAlone(Priority newcomer, Priority holder, boolean stops) {
     machine("a0", SMALL, "a");
-    job(spec("wk-1", Shape.ARRAY, holder, 4, 1, 0, false, false), 0,
+    job(spec("wk-1", JobKind.ARRAY, holder, 4, 1, 0, false, false), 0,
         new Assignment("a0", 1, TaskSet.range(0, 4)));
-    job(spec("wk-2", Shape.ARRAY, newcomer, 1, 2, 0, false, false), 1);
+    job(spec("wk-2", JobKind.ARRAY, newcomer, 1, 2, 0, false, false), 1);
     Plan plan = plan();
     assertEquals(stops, plan.stops().containsKey("wk-1"));
     if (stops) {
@@ -223,9 +223,9 @@
   @Test
   void whoHasJustComeWaitsForOthersToEndByThemselves() {
     machine("a0", SMALL, "a");
-    job(spec("wk-1", Shape.ARRAY, Priority.LOW, 4, 1, 0, false, false), 0,
+    job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 4, 1, 0, false, false), 0,
         new Assignment("a0", 1, TaskSet.range(0, 4)));
-    JobSpec spec = spec("wk-2", Shape.ARRAY, Priority.HIGH, 1, 1, 0, false, false);
+    JobSpec spec = spec("wk-2", JobKind.ARRAY, Priority.HIGH, 1, 1, 0, false, false);
     jobs.add(new JobState("wk-2", JobRecord.created(spec, 1), true, false, false, 0, Set.of()));
     assertTrue(plan().stops().isEmpty());
   }
@@ -241,7 +241,7 @@
   void whatCanNotBeInTimeLetsOthersGoFirst(int ageS, int unbegun, int begun) {
     JobSpec spec =
         new JobSpec(
-            "wk-1", "c", "t", Shape.ARRAY, Priority.LOW, 4, 1, 0, 1, "img", 2, null, null, false,
+            "wk-1", "c", "t", JobKind.ARRAY, Priority.LOW, 4, 1, 0, 1, "img", 2, null, null, false,
             false, false, 20, 0, 0, 100.0);
     Deadlines deadlines =
         new Deadlines(
@@ -258,8 +258,8 @@
   @Test
   void lateJobsGoLast() {
     machine("m", SMALL, "a");
-    JobSpec late = spec("wk-1", Shape.ARRAY, Priority.LOW, 4, 1, 0, false, false);
-    JobSpec inTime = spec("wk-2", Shape.ARRAY, Priority.LOW, 4, 1, 0, false, false);
+    JobSpec late = spec("wk-1", JobKind.ARRAY, Priority.LOW, 4, 1, 0, false, false);
+    JobSpec inTime = spec("wk-2", JobKind.ARRAY, Priority.LOW, 4, 1, 0, false, false);
     jobs.add(new JobState("wk-1", JobRecord.created(late, 0), true, true, false, 1, Set.of()));
     jobs.add(new JobState("wk-2", JobRecord.created(inTime, 1), true, true, false, 0, Set.of()));
     Plan plan = plan();
@@ -272,8 +272,8 @@
   @CsvSource({"0, wk-2", "30, wk-2", "20000, wk-1"})
   void aHugeArrayDoesNotKeepSmallOnesWaiting(long laterS, String first) {
     machine("a0", SMALL, "a");
-    job(spec("wk-1", Shape.ARRAY, Priority.LOW, 1000, 1, 0, false, false), 0);
-    job(spec("wk-2", Shape.ARRAY, Priority.LOW, 4, 1, 0, false, false), laterS * 1000);
+    job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 1000, 1, 0, false, false), 0);
+    job(spec("wk-2", JobKind.ARRAY, Priority.LOW, 4, 1, 0, false, false), laterS * 1000);
     assertEquals(4, placed(plan(), first));
   }
 
@@ -282,9 +282,9 @@
   @CsvSource({"25000,LOW,true,1", "25000,LOW,false,0", "2,LOW,true,0", "25000,NORMAL,true,0"})
   void aLargeArrayThatHasWaitedForLongBegins(int tasks, Priority others, boolean due, int begun) {
     machine("a0", SMALL, "a");
-    JobSpec large = spec("wk-1", Shape.ARRAY, Priority.LOW, tasks, 1, 0, false, false);
+    JobSpec large = spec("wk-1", JobKind.ARRAY, Priority.LOW, tasks, 1, 0, false, false);
     jobs.add(new JobState("wk-1", JobRecord.created(large, 0), true, true, false, 2, Set.of(), due));
-    job(spec("wk-2", Shape.ARRAY, others, 4, 1, 0, false, false), 1);
+    job(spec("wk-2", JobKind.ARRAY, others, 4, 1, 0, false, false), 1);
     Plan plan = plan();
     assertEquals(begun, placed(plan, "wk-1"));
     assertEquals(4 - begun, placed(plan, "wk-2"));
@@ -296,9 +296,9 @@
   @Test
   void aSuspectedJobIsTriedWithOneTaskAndNothingIsStoppedOrRentedForIt() {
     machine("a0", SMALL, "a");
-    job(spec("wk-1", Shape.ARRAY, Priority.LOW, 2, 1, 0, false, false), 0,
+    job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 2, 1, 0, false, false), 0,
         new Assignment("a0", 1, TaskSet.range(0, 2)));
-    JobSpec spec = spec("wk-2", Shape.ARRAY, Priority.HIGH, 9, 1, 0, false, false);
+    JobSpec spec = spec("wk-2", JobKind.ARRAY, Priority.HIGH, 9, 1, 0, false, false);
     jobs.add(new JobState("wk-2", JobRecord.created(spec, 1), true, true, true, 0, Set.of()));
     Plan plan = plan();
     assertEquals(1, placed(plan, "wk-2"));
@@ -313,11 +313,11 @@
     machine("a0", ACCEL, "a");
     machine("a1", ACCEL, "a");
     for (int i = 0; i < 2; i++) {
-      job(spec("wk-" + i, Shape.GANG, Priority.NORMAL, 1, 8, 4, false, false), i,
+      job(spec("wk-" + i, JobKind.GANG, Priority.NORMAL, 1, 8, 4, false, false), i,
           new Assignment("a" + i, 1, TaskSet.range(0, 1)));
     }
     JobSpec other =
-        new JobSpec("wk-9", "c", "u", Shape.GANG, Priority.NORMAL, 1, 8, 4, 1, "img", 2, null,
+        new JobSpec("wk-9", "c", "u", JobKind.GANG, Priority.NORMAL, 1, 8, 4, 1, "img", 2, null,
             null, false, false, false, 10, 0, 0, null);
     job(other, 9);
     Plan plan = plan();
@@ -328,9 +328,9 @@
   @Test
   void whatNeedsNoAcceleratorWaitsForABootingMachineAndTakesNoneAway() {
     machine("acc", ACCEL, "a");
-    JobSpec gang = spec("wk-1", Shape.GANG, Priority.NORMAL, 1, 14, 4, false, false);
+    JobSpec gang = spec("wk-1", JobKind.GANG, Priority.NORMAL, 1, 14, 4, false, false);
     job(gang, 0);
-    job(spec("wk-2", Shape.SERVICE, Priority.PRODUCTION, 1, 4, 0, false, false), 0);
+    job(spec("wk-2", JobKind.SERVICE, Priority.PRODUCTION, 1, 4, 0, false, false), 0);
     Plan plan = plan();
     assertEquals(1, placed(plan, "wk-1"), "the only machine for it is kept for it");
     assertEquals(0, placed(plan, "wk-2"));
@@ -341,7 +341,7 @@
   void refusingMachinesArePassedOver() {
     machine("a0", SMALL, "a", Set.of("img"), 0, 1);
     machine("a1", SMALL, "a");
-    JobSpec spec = spec("wk-1", Shape.ARRAY, Priority.LOW, 1, 1, 0, false, false);
+    JobSpec spec = spec("wk-1", JobKind.ARRAY, Priority.LOW, 1, 1, 0, false, false);
     jobs.add(new JobState("wk-1", JobRecord.created(spec, 0), true, true, false, 0, Set.of("a0")));
     assertEquals(1, placed(plan(), "wk-1", "a1"));
   }
@@ -352,7 +352,7 @@
         new MachineState(
             "old", SMALL, "a", false, 1, false, true, Set.of("img"), Set.of(), 0, 0.5, 1));
     machine("new", SMALL, "a");
-    job(spec("wk-1", Shape.SERVICE, Priority.PRODUCTION, 2, 1, 0, false, false), 0,
+    job(spec("wk-1", JobKind.SERVICE, Priority.PRODUCTION, 2, 1, 0, false, false), 0,
         new Assignment("old", 1, TaskSet.range(0, 2)));
     Plan plan = plan();
     assertEquals(1, plan.stops().get("wk-1").size());
@@ -368,11 +368,11 @@
     "ARRAY, 4, false, false, 2, ''"
   })
   void whatFindsNoRoomIsToldWithTheZonesOfTheRest(
-      Shape shape, int tasks, boolean together, boolean scatter, int left, String zones) {
+      JobKind shape, int tasks, boolean together, boolean scatter, int left, String zones) {
     machine("x", SMALL, "a", Set.of(), 0, 1);
     machine("y", SMALL, "a", Set.of(), 0, 1);
     job(spec("wk-1", shape, Priority.NORMAL, tasks, SMALL.cpus(), 0, together, scatter), 0);
-    Plan.Unmet unmet = plan().unmet().get(0);
+    Plan.UnmetDemand unmet = plan().unmet().get(0);
     assertEquals(left, unmet.tasks());
     assertEquals(zones, unmet.zones().entrySet().stream().map(Object::toString).collect(Collectors.joining(" ")));
   }
@@ -380,7 +380,7 @@
   private Plan planOnFewMachines(int machinesOfRound) {
     return Planner.plan(
         new Snapshot(machines, booting, jobs, teams),
-        new Planner.Bounds(new RecordLimit(8192), machinesOfRound, 1000));
+        new Planner.Bounds(new RecordSizeLimit(8192), machinesOfRound, 1000));
   }
 
   /** Ten begun machines that the gang fits best on, and three whole ones that a transaction can name. */
@@ -390,14 +390,14 @@
     for (int i = 0; i < 12; i++) {
       machine("begun-" + i, SMALL, "a", Set.of("img"), 0, 1);
       job(
-          spec("wk-1" + i, Shape.SERVICE, Priority.PRODUCTION, 1, 3, 0, false, false),
+          spec("wk-1" + i, JobKind.SERVICE, Priority.PRODUCTION, 1, 3, 0, false, false),
           0,
           new Assignment("begun-" + i, 1, TaskSet.EMPTY.with(0)));
     }
     for (int i = 0; i < 3; i++) {
       machine("whole-" + i, SMALL, "a", Set.of("img"), 0, 1);
     }
-    job(spec("wk-2", Shape.GANG, Priority.HIGH, 12, 1, 0, false, false), 1);
+    job(spec("wk-2", JobKind.GANG, Priority.HIGH, 12, 1, 0, false, false), 1);
     Plan plan = planOnFewMachines(machinesOfRound);
     int placed = 0;
     for (int i = 0; i < 3; i++) {
@@ -412,8 +412,8 @@
     for (int i = 0; i < 4; i++) {
       machine("n-" + i, SMALL, "a");
     }
-    job(spec("wk-1", Shape.GANG, Priority.HIGH, 16, 1, 0, false, false), 0);
-    job(spec("wk-2", Shape.ARRAY, Priority.LOW, 8, 1, 0, false, false), 1);
+    job(spec("wk-1", JobKind.GANG, Priority.HIGH, 16, 1, 0, false, false), 0);
+    job(spec("wk-2", JobKind.ARRAY, Priority.LOW, 8, 1, 0, false, false), 1);
     Plan plan = planOnFewMachines(3);
     assertEquals(0, placed(plan, "wk-1"));
     assertEquals(8, placed(plan, "wk-2"));
@@ -427,13 +427,13 @@
     machine("n-0", SMALL, "a");
     machine("n-1", SMALL, "b");
     for (int i = 1; i <= 3; i++) {
-      job(spec("wk-" + i, Shape.ARRAY, Priority.LOW, i == 3 ? 4 : 3, 1, 0, false, false), i);
+      job(spec("wk-" + i, JobKind.ARRAY, Priority.LOW, i == 3 ? 4 : 3, 1, 0, false, false), i);
     }
     Plan plan =
         Planner.plan(
             new Snapshot(machines, booting, jobs, teams),
-            new Planner.Bounds(new RecordLimit(8192), 30, bound));
+            new Planner.Bounds(new RecordSizeLimit(8192), 30, bound));
     assertEquals(placedJobs, Math.min(2, plan.placements().size()));
-    assertEquals(lacking, plan.unmet().stream().mapToInt(Plan.Unmet::tasks).sum());
+    assertEquals(lacking, plan.unmet().stream().mapToInt(Plan.UnmetDemand::tasks).sum());
   }
 }
--- a/src/test/java/io/tansystack/schedule/RentPlannerTest.java
+++ b/src/test/java/io/tansystack/schedule/RentPlannerTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.base.Splitter;
-import io.tansystack.schedule.Plan.Unmet;
-import io.tansystack.schedule.RentPlanner.Kind;
+import io.tansystack.schedule.Plan.UnmetDemand;
+import io.tansystack.schedule.RentPlanner.MachineOffering;
 import io.tansystack.settings.OperatorSettings;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -29,27 +29,34 @@
       new MachineType("accel", 16, 4, 64, 100, 1, 8.0, 3.0, 45, List.of("a", "b"));
   private static final Map<String, MachineType> TYPES = Map.of("small", SMALL, "accel", ACCEL);
 
-  private static JobSpec spec(Shape shape, int tasks, double cpus, boolean together, boolean scatter) {
+  private static JobSpec spec(
+      JobKind shape, int tasks, double cpus, boolean together, boolean scatter) {
     return new JobSpec(
         "wk-1", "c", "t", shape, Priority.LOW, tasks, cpus, 0, 1, "img", 1, null, null, together, scatter, false,
         20, 0, 0, null);
   }
 
-  private static Map<Kind, Integer> rent(
-      Unmet unmet, List<Kind> coming, Map<String, MachineType> types, Predicate<Kind> blocked) {
+  private static Map<MachineOffering, Integer> rent(
+      UnmetDemand unmet,
+      List<MachineOffering> coming,
+      Map<String, MachineType> types,
+      Predicate<MachineOffering> blocked) {
     return RentPlanner.decide(List.of(unmet), coming, types, blocked, OperatorSettings.defaults());
   }
 
   @Test
   void rentsTheCheapestAndCountsWhatIsBooting() {
-    Unmet unmet = new Unmet("wk-1", spec(Shape.ARRAY, 8, 1, false, false), 8, false, Map.of());
-    Kind small = new Kind("small", "a", false);
-    Map<Kind, Integer> rent = rent(unmet, List.of(), TYPES, k -> false);
+    UnmetDemand unmet =
+        new UnmetDemand("wk-1", spec(JobKind.ARRAY, 8, 1, false, false), 8, false, Map.of());
+    MachineOffering small = new MachineOffering("small", "a", false);
+    Map<MachineOffering, Integer> rent = rent(unmet, List.of(), TYPES, k -> false);
     assertEquals(2, rent.values().stream().mapToInt(i -> i).sum());
     assertTrue(rent.keySet().stream().allMatch(k -> k.type().equals("small")));
     assertTrue(rent(unmet, List.of(small, small), TYPES, k -> false).isEmpty());
     rent = rent(unmet, List.of(), TYPES, k -> k.type().equals("small"));
-    assertEquals(Set.of("accel"), rent.keySet().stream().map(Kind::type).collect(Collectors.toSet()));
+    assertEquals(
+        Set.of("accel"),
+        rent.keySet().stream().map(MachineOffering::type).collect(Collectors.toSet()));
   }
 
   /**
@@ -78,12 +85,24 @@
     "ARRAY, 3, 2, anyhow, b1, '', b, a2",
   })
   void rentsWhereTheJobsOtherTasksLetItStand(
-      Shape shape, int tasks, int left, String how, String others, String coming, String refused, String rented) {
+      JobKind shape,
+      int tasks,
+      int left,
+      String how,
+      String others,
+      String coming,
+      String refused,
+      String rented) {
     JobSpec spec = spec(shape, tasks, 4, how.equals("together"), how.equals("scatter"));
-    List<Kind> booting = coming.isEmpty() ? List.of() : List.of(new Kind("small", coming.substring(0, 1), false));
+    List<MachineOffering> booting =
+        coming.isEmpty()
+            ? List.of()
+            : List.of(new MachineOffering("small", coming.substring(0, 1), false));
     Map<String, Integer> byZone = new TreeMap<>();
     rent(
-            new Unmet("wk-1", spec, left, false, counts(others)), booting, Map.of("small", SMALL),
+            new UnmetDemand("wk-1", spec, left, false, counts(others)),
+            booting,
+            Map.of("small", SMALL),
             kind -> refused.contains(kind.zone()))
         .forEach((kind, count) -> byZone.merge(kind.zone(), count, Integer::sum));
     assertEquals(counts(rented), byZone);
--- a/src/test/java/io/tansystack/sim/GapTest.java
+++ b/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
@@ -21,8 +21,8 @@
  * it is away for everybody, while workers go on reporting to the one that never heard of them. What was
  * cancelled is gone within {@code cancel_s} of the answer to its user all the same.
  */
-class GapTest extends SimCluster {
-  private Users users;
+class CancellationDuringOutageTest extends SimCluster {
+  private SimUsers users;
   private int jobs;
 
   /** Half of the jobs have two tasks; none ends by itself while the gap lasts. */
@@ -35,13 +35,13 @@
     run = Duration.ofSeconds(400);
     controllerCount = 4;
     maxMachines = 24;
-    users = new Users(this);
+    users = new SimUsers(this);
     for (int i = 0; i < controllerCount; i++) {
       boot(i);
     }
     loop.runFor(Duration.ofSeconds(12));
     for (int i = 0; i < count; i++) {
-      users.submit(spec(id(jobs++), 1 + i % 2), Users.ANY);
+      users.submit(spec(id(jobs++), 1 + i % 2), SimUsers.ANY);
     }
     loop.runFor(Duration.ofSeconds(25));
   }
@@ -207,7 +207,7 @@
     held = 1;
     heldFor = Duration.ofSeconds(100);
     for (int i = 0; i < 30; i++) {
-      users.submit(spec(id(jobs++), 1), Users.ANY);
+      users.submit(spec(id(jobs++), 1), SimUsers.ANY);
     }
     loop.runFor(Duration.ofSeconds(2));
     writeKind = "ts/machines/";
@@ -266,7 +266,8 @@
   @Test
   void anOwnersEndAmidCancellationsCostsNoOtherWork() throws Exception {
     running(36, 61, 60);
-    users.submit(spec(id(jobs++), 1), Users.ANY); // A sign of life, from which its workers' leases are reckoned.
+    // A sign of life, from which its workers' leases are reckoned.
+    users.submit(spec(id(jobs++), 1), SimUsers.ANY);
     loop.runFor(Duration.ofSeconds(1));
     int owner = ownerOfMost();
     kill(owner);
--- a/src/test/java/io/tansystack/sim/ClusterTest.java
+++ b/src/test/java/io/tansystack/sim/ClusterTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.emulator.EmulatedWorker;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.tansystack.emulator.EmulatedWorker;
 import io.tansystack.settings.SettingsTest;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Shape;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/test/java/io/tansystack/sim/MeetingsTest.java
+++ b/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
@@ -18,10 +18,11 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Two troubles that meet, each meeting of the operators' page; {@link GapTest} has the one that broke
- * most, docs/meetings.md tells which test causes what. {@link Judge} sees the whole history.
+ * Two troubles that meet, each meeting of the operators' page; {@link
+ * CancellationDuringOutageTest} has the one that broke most, docs/meetings.md tells which test
+ * causes what. {@link HistoryChecker} sees the whole history.
  */
-class MeetingsTest extends Meeting {
+class CombinedFaultsTest extends FaultScenario {
   /**
    * Commands, or their answers, are held up for shorter and longer than the owner waits for them, while the
    * machine is claimed anew, handed to an heir, begins a new session, or is given the same task again.
@@ -54,7 +55,7 @@
           loop.runFor(Duration.ofSeconds(7));
         }
       }
-      case "cancel" -> users().jobs.keySet().forEach(id -> users().cancel(id, Users.ANY));
+      case "cancel" -> users().jobs.keySet().forEach(id -> users().cancel(id, SimUsers.ANY));
       default -> { }
     }
     work(4, 3);
@@ -77,7 +78,7 @@
     storeSlow = Duration.ofMillis(slowMs);
     for (int i = 0; i < 12; i++) {
       String cancelled = id(i);
-      loop.after(Duration.ofMillis(1700L * i), () -> users().cancel(cancelled, Users.ANY));
+      loop.after(Duration.ofMillis(1700L * i), () -> users().cancel(cancelled, SimUsers.ANY));
       loop.after(Duration.ofMillis(1100L * i), () -> users().askForNone("wk-999999"));
     }
     loop.runFor(Duration.ofSeconds(6));
@@ -163,7 +164,7 @@
 
   private static void unansweredWritesOf(String kind, double least, boolean atOnce) throws Exception {
     for (int seed = 1; seed <= 3; seed++) {
-      MeetingsTest anew = new MeetingsTest();
+      CombinedFaultsTest anew = new CombinedFaultsTest();
       anew.random = new Random(seed);
       anew.users().closeLooks = atOnce;
       anew.playUnanswered(kind, least + 0.25 * seed, atOnce);
@@ -180,7 +181,7 @@
     for (int round = 0; round < 4; round++) {
       int size = 1 + random.nextInt(6);
       work(size, 1 + random.nextInt(4));
-      users().cancel(id(random.nextInt(jobs)), Users.ANY);
+      users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
       loop.runFor(Duration.ofMillis(500 + random.nextInt(6000)));
       if (round == 1) {
         workers.values().stream().limit(3).forEach(worker -> worker.hangUntil(loop.now().plusSeconds(45)));
@@ -233,7 +234,7 @@
     running(3, 18, 10, 3);
     work(6, 2);
     for (int i = 0; i < 5; i++) {
-      users().submit(gang(id(jobs++), 2 + i % 2), Users.ANY);
+      users().submit(gang(id(jobs++), 2 + i % 2), SimUsers.ANY);
     }
     loop.runFor(Duration.ofSeconds(3));
     for (int round = 0; round < 3; round++) {
@@ -288,7 +289,7 @@
     loop.runFor(Duration.ofSeconds(1));
     end(holder("ts/fleet"), 60_000);
     loop.runFor(Duration.ofSeconds(2));
-    users().cancel(id(0), Users.ANY);
+    users().cancel(id(0), SimUsers.ANY);
     work(6, 2);
     loop.runFor(Duration.ofSeconds(seconds - 3));
     unheard.clear();
--- a/src/test/java/io/tansystack/sim/Served.java
+++ b/src/test/java/io/tansystack/sim/FairnessChecker.java
@@ -1,9 +1,9 @@
 package io.tansystack.sim;
 
 import io.tansystack.emulator.EmulatedWorker;
-import io.tansystack.sim.Users.Told;
+import io.tansystack.sim.SimUsers.UserJob;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,7 +17,7 @@
  * Who is served: that no job waits while there is room for it, that the largest begin too, and that no
  * class, team or class's largest jobs are left with less than half.
  */
-final class Served {
+final class FairnessChecker {
   /** Once all troubles are over, so long may a job wait while a machine that fits has room. */
   private static final Duration ROOM = Duration.ofSeconds(90);
 
@@ -25,8 +25,8 @@
   private static final Duration BEGINS = Duration.ofMinutes(4);
 
   private final SimCluster cluster;
-  private final Users users;
-  private final Map<String, Judge.Limit> limits;
+  private final SimUsers users;
+  private final Map<String, HistoryChecker.Limit> limits;
   private final Map<String, Duration> begun = new HashMap<>();
   private final Map<String, Duration> roomSince = new HashMap<>();
 
@@ -39,13 +39,13 @@
   private Duration lookedAt;
   private final Set<String> passedOver = new LinkedHashSet<>();
 
-  Served(SimCluster cluster, Users users, Map<String, Judge.Limit> limits) {
+  FairnessChecker(SimCluster cluster, SimUsers users, Map<String, HistoryChecker.Limit> limits) {
     this.cluster = cluster;
     this.users = users;
     this.limits = limits;
   }
 
-  void started(Told told) {
+  void started(UserJob told) {
     begun.putIfAbsent(told.spec.id(), cluster.loop.now());
   }
 
@@ -68,7 +68,7 @@
     }
     Duration passed = lookedAt == null ? Duration.ZERO : cluster.loop.now().minus(lookedAt);
     lookedAt = cluster.loop.now();
-    for (Told told : users.jobs.values()) {
+    for (UserJob told : users.jobs.values()) {
       JobSpec spec = told.spec;
       boolean waits = told.accepted != null && !told.over() && !told.asksToCancel && !live.containsKey(spec.id())
           && !cluster.completed.contains(spec.id() + "/" + (spec.tasks() - 1));
@@ -89,13 +89,13 @@
 
   /** How many of its tasks must begin at once. */
   private static int together(JobSpec spec) {
-    return spec.shape() == Shape.ARRAY ? 1 : spec.tasks();
+    return spec.shape() == JobKind.ARRAY ? 1 : spec.tasks();
   }
 
   /** Whether its team can't have as much beside what it uses. */
   private boolean atLimit(JobSpec spec, double[] used) {
     int together = together(spec);
-    Judge.Limit limit = limits.getOrDefault(spec.team(), new Judge.Limit(0, 0));
+    HistoryChecker.Limit limit = limits.getOrDefault(spec.team(), new HistoryChecker.Limit(0, 0));
     return (limit.cpus() > 0 && used[0] + spec.cpus() * together > limit.cpus() + 1e-6)
         || (limit.gpus() > 0 && used[1] + spec.gpus() * together > limit.gpus() + 1e-6);
   }
@@ -130,8 +130,8 @@
   /** What was broken. */
   Set<String> atTheEnd() {
     Set<String> broken = new LinkedHashSet<>(passedOver);
-    Map<String, List<Told>> groups = new LinkedHashMap<>();
-    for (Told told : users.jobs.values()) {
+    Map<String, List<UserJob>> groups = new LinkedHashMap<>();
+    for (UserJob told : users.jobs.values()) {
       if (told.accepted == null || told.asksToCancel) {
         continue;
       }
@@ -144,7 +144,7 @@
       groups.computeIfAbsent("class " + told.spec.jobClass(), k -> new ArrayList<>()).add(told);
       groups.computeIfAbsent("team " + told.spec.team(), k -> new ArrayList<>()).add(told);
     }
-    Map<String, List<Told>> largest = new LinkedHashMap<>();
+    Map<String, List<UserJob>> largest = new LinkedHashMap<>();
     groups.forEach((name, members) -> {
       int most = members.stream().mapToInt(told -> told.spec.tasks()).max().orElse(0);
       largest.put("largest of " + name, members.stream().filter(t -> t.spec.tasks() == most).toList());
--- a/src/test/java/io/tansystack/sim/Meeting.java
+++ b/src/test/java/io/tansystack/sim/FaultScenario.java
@@ -5,17 +5,17 @@
 
 import io.tansystack.emulator.EmulatedWorker;
 import io.tansystack.settings.SettingsTest;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 
 /** What tests of troubles that meet have in common: a cluster with work, its users, and what must hold in the end. */
-abstract class Meeting extends SimCluster {
-  private Users users;
+abstract class FaultScenario extends SimCluster {
+  private SimUsers users;
   int jobs;
 
   {
@@ -26,9 +26,9 @@
   boolean farApart;
 
   /** Made when they are first asked for: the settings have to stand by then. */
-  Users users() {
+  SimUsers users() {
     if (users == null) {
-      users = new Users(this);
+      users = new SimUsers(this);
     }
     return users;
   }
@@ -68,27 +68,27 @@
 
   void work(int count, int tasks) {
     for (int i = 0; i < count; i++) {
-      users().submit(spec(id(jobs++), tasks), Users.ANY);
+      users().submit(spec(id(jobs++), tasks), SimUsers.ANY);
     }
   }
 
   /** A job of its own kind; the next one in number. */
   String submit(
-      String team, Shape shape, Priority priority, int tasks, double cpus, double gpus, String zone,
-      boolean together, boolean scatter) {
+      String team, JobKind shape, Priority priority, int tasks, double cpus, double gpus,
+      String zone, boolean together, boolean scatter) {
     String id = id(jobs++);
     users().submit(
         new JobSpec(
             id, "c", team, shape, priority, tasks, cpus, gpus, 1, "img", 1, null, zone, together, scatter, false,
             20, 0, 0, null),
-        Users.ANY);
+        SimUsers.ANY);
     return id;
   }
 
   static JobSpec gang(String id, int tasks) {
     return new JobSpec(
-        id, "c", "vision", Shape.GANG, Priority.NORMAL, tasks, 1, 0, 1, "img", 1, null, null, false, false, false,
-        20, 0, 0, null);
+        id, "c", "vision", JobKind.GANG, Priority.NORMAL, tasks, 1, 0, 1, "img", 1, null, null,
+        false, false, false, 20, 0, 0, null);
   }
 
   static String id(int job) {
@@ -144,8 +144,11 @@
     }
     users().calm();
     users().jobs.values().stream()
-        .filter(told -> told.spec.shape() == Shape.SERVICE && !told.asksToCancel)
-        .forEach(told -> loop.after(Duration.ofSeconds(100), () -> users().cancel(told.spec.id(), Users.ANY)));
+        .filter(told -> told.spec.shape() == JobKind.SERVICE && !told.asksToCancel)
+        .forEach(
+            told ->
+                loop.after(
+                    Duration.ofSeconds(100), () -> users().cancel(told.spec.id(), SimUsers.ANY)));
     loop.runFor(Duration.ofSeconds(300));
     assertEquals(Set.of(), users().judge().atTheEnd(), what);
     users().jobs.forEach(
--- a/src/test/java/io/tansystack/sim/StartTest.java
+++ b/src/test/java/io/tansystack/sim/FullRestartTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.emulator.EmulatedWorker;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.tansystack.emulator.EmulatedWorker;
 import io.tansystack.settings.SettingsTest;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
  * other failures. Besides the rules there must be no storm: no order that a reconciled fleet would not
  * need, no claim of a machine whose owner comes back in time, no rental and no return.
  */
-class StartTest extends SimCluster {
+class FullRestartTest extends SimCluster {
   private int jobs;
   private int submitted;
 
--- a/src/test/java/io/tansystack/sim/Judge.java
+++ b/src/test/java/io/tansystack/sim/HistoryChecker.java
@@ -1,11 +1,11 @@
 package io.tansystack.sim;
 
-import io.tansystack.emulator.EmulatedWorker;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import io.tansystack.sim.Users.Known;
-import io.tansystack.sim.Users.Told;
+import io.tansystack.emulator.EmulatedWorker;
+import io.tansystack.sim.SimUsers.ObservedState;
+import io.tansystack.sim.SimUsers.UserJob;
 import io.tansystack.wire.JobSpec;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -22,9 +22,9 @@
 /**
  * Judges a whole history by every rule of the protocol: what users were told, and what was on the
  * workers' machines after each event there and at every fifth of a second. It sees the published
- * interfaces only and shares no code with the service; {@link Served} judges who is served.
+ * interfaces only and shares no code with the service; {@link FairnessChecker} judges who is served.
  */
-final class Judge {
+final class HistoryChecker {
   /** A job about which no question is answered for so long, once all troubles are over, is forgotten. */
   private static final Duration ANSWERED = Duration.ofSeconds(75);
 
@@ -37,10 +37,10 @@
   record LateStart(String task, String machine, Duration after) {}
 
   private final SimCluster cluster;
-  private final Users users;
+  private final SimUsers users;
   private final Duration cancel;
   private final Map<String, Limit> limits;
-  private final Served served;
+  private final FairnessChecker served;
 
   /** Tasks that were there at the last look, each with machine, session and attempt. */
   private Set<String> there = new HashSet<>();
@@ -54,12 +54,12 @@
   /** Not a breach while they were under way before, but users count them. */
   final List<LateStart> lateStarts = new ArrayList<>();
 
-  Judge(SimCluster cluster, Users users) {
+  HistoryChecker(SimCluster cluster, SimUsers users) {
     this.cluster = cluster;
     this.users = users;
     this.cancel = Duration.ofMillis((long) (cluster.setting("cancel_s") * 1000));
     this.limits = limits(cluster.settings);
-    this.served = new Served(cluster, users, limits);
+    this.served = new FairnessChecker(cluster, users, limits);
     cluster.onChange.add(this::look);
     watch();
   }
@@ -99,7 +99,7 @@
         }
         boolean starts = !there.contains(worker.name() + " " + attempt);
         now.add(worker.name() + " " + attempt);
-        Told told = users.jobs.get(task.substring(0, task.indexOf('/')));
+        UserJob told = users.jobs.get(task.substring(0, task.indexOf('/')));
         if (told == null) {
           continue;
         }
@@ -120,7 +120,7 @@
     zones.forEach((id, counts) -> place(users.jobs.get(id).spec, counts));
   }
 
-  private void started(Told told, String task, EmulatedWorker worker) {
+  private void started(UserJob told, String task, EmulatedWorker worker) {
     JobSpec spec = told.spec;
     boolean allowedType = spec.types() == null || spec.types().contains(worker.type().name());
     if (!allowedType || (worker.spot() && !spec.spotOk())) {
@@ -139,7 +139,7 @@
     }
   }
 
-  private void stillThere(Told told, EmulatedWorker worker) {
+  private void stillThere(UserJob told, EmulatedWorker worker) {
     Duration since = cluster.loop.now().minus(told.cancelled);
     lastOfCancelled = since.compareTo(lastOfCancelled) > 0 ? since : lastOfCancelled;
     if (since.compareTo(cancel) > 0) {
@@ -178,7 +178,7 @@
    *
    * @param known what had been told when it was asked
    */
-  void answered(Told told, Known known, int status, byte[] body) {
+  void answered(UserJob told, ObservedState known, int status, byte[] body) {
     String id = told.spec.id();
     if (known.accepted() && (status == 404 || status == 400 || status == 422)) {
       broken.add("forgotten " + id + ": answered " + status);
@@ -188,8 +188,8 @@
     }
     ObjectNode map = SimNetwork.decode(body);
     String state = map.path("Status").asText();
-    boolean older = !Told.isOver(state) && known.over();
-    boolean other = Told.isOver(state) && told.over() && !state.equals(told.last);
+    boolean older = !UserJob.isOver(state) && known.over();
+    boolean other = UserJob.isOver(state) && told.over() && !state.equals(told.last);
     if (older || other) {
       broken.add("went_back " + id + " from " + told.last + " to " + state);
     }
--- a/src/test/java/io/tansystack/sim/JudgeTest.java
+++ b/src/test/java/io/tansystack/sim/HistoryCheckerTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.emulator.EmulatedWorker;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.tansystack.emulator.EmulatedWorker;
 import io.tansystack.settings.SettingsTest;
-import io.tansystack.sim.Users.Known;
-import io.tansystack.sim.Users.Told;
+import io.tansystack.sim.SimUsers.ObservedState;
+import io.tansystack.sim.SimUsers.UserJob;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,17 +19,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The judge of the other tests sees a breach of each rule, planted without any controller. */
-class JudgeTest extends SimCluster {
+class HistoryCheckerTest extends SimCluster {
   {
     settings = twoTeams();
     types = List.of(new SimType("small", 40, 4, 64));
   }
 
-  private final Users users = new Users(this);
-  private final Judge judge = users.judge();
+  private final SimUsers users = new SimUsers(this);
+  private final HistoryChecker judge = users.judge();
   private final EmulatedWorker first = worker("a");
   private final EmulatedWorker second = worker("b");
-  private Told told;
+  private UserJob told;
 
   private EmulatedWorker worker(String zone) {
     return workers.get(addWorker(zone));
@@ -43,12 +43,12 @@
       String id, String team, int tasks, double cpus, double gpus, List<String> types, String zone,
       boolean together, boolean spread) {
     return new JobSpec(
-        id, "c", team, Shape.ARRAY, Priority.NORMAL, tasks, cpus, gpus, 1, "img", 1, types, zone, together, spread,
-        false, 20, 0, 0, null);
+        id, "c", team, JobKind.ARRAY, Priority.NORMAL, tasks, cpus, gpus, 1, "img", 1, types, zone,
+        together, spread, false, 20, 0, 0, null);
   }
 
   private void accepted(JobSpec spec) {
-    told = new Told(spec);
+    told = new UserJob(spec);
     users.jobs.put(spec.id(), told);
     answer("pending");
   }
@@ -57,7 +57,7 @@
     answer(told.known(), state);
   }
 
-  private void answer(Known known, String state) {
+  private void answer(ObservedState known, String state) {
     users.answered(told, known, 200, Cbor.encode(Cbor.map().put("Status", state)));
   }
 
@@ -222,14 +222,14 @@
         accepted(job(1, null, false, false));
         told.asksToCancel = true;
         answer("withdrawn"); // To the cancellation, by one node; the question went to another after that.
-        answer(new Known(true, true), "pending");
+        answer(new ObservedState(true, true), "pending");
       }
       case "went_back other end" -> {
         accepted(job(1, null, false, false));
         completed.add("wk-000001/0");
         told.asksToCancel = true;
         answer("done");
-        answer(new Known(true, false), "withdrawn");
+        answer(new ObservedState(true, false), "withdrawn");
       }
       case "went_back uncancelled" -> {
         accepted(job(1, null, false, false));
@@ -268,14 +268,15 @@
     loop.runFor(Duration.ofSeconds(3));
     start(first, 0);
     assertEquals(
-        List.of(new Judge.LateStart("wk-000001/0", first.name(), Duration.ofSeconds(3))), judge.lateStarts);
+        List.of(new HistoryChecker.LateStart("wk-000001/0", first.name(), Duration.ofSeconds(3))),
+        judge.lateStarts);
     assertEquals(0, judge.broken.size(), judge.broken.toString());
   }
 
   @Test
   void seesNothingWhereNothingIsWrong() {
     accepted(job(2, null, false, true));
-    Known before = told.known();
+    ObservedState before = told.known();
     start(first, 0);
     loop.runFor(Duration.ofSeconds(30));
     start(second, 1);
--- a/src/test/java/io/tansystack/sim/OutcomesTest.java
+++ b/src/test/java/io/tansystack/sim/JobArchivalTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.tansystack.emulator.StoreLimits;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.tansystack.cluster.World;
+import io.tansystack.cluster.ClusterState;
+import io.tansystack.emulator.StoreLimits;
 import io.tansystack.records.JobRecord;
 import io.tansystack.wire.Cbor;
 import java.time.Duration;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Jobs that are over are put away, and known for ever; a start doesn't read them. */
-class OutcomesTest extends SimCluster {
+class JobArchivalTest extends SimCluster {
   private static String id(int i) {
     return String.format("wk-%06d", i);
   }
@@ -145,11 +145,12 @@
   @ParameterizedTest
   @ValueSource(ints = {10_000, 50_000})
   void aStartDoesNotGrowWithWhatHasEnded(int ended) throws Exception {
-    Start none = start(0, World::endedKey);
-    Start many = start(ended, World::endedKey);
+    Start none = start(0, ClusterState::endedKey);
+    Start many = start(ended, ClusterState::endedKey);
     assertTrue(many.requests <= none.requests * 1.1, none + " and " + many);
     assertTrue(many.took.toMillis() <= none.took.toMillis() * 1.1, none + " and " + many);
-    Start inTheCopy = start(ended, World::jobKey); // As it was, and as what is not put away yet.
+    // As it was, and as what is not put away yet.
+    Start inTheCopy = start(ended, ClusterState::jobKey);
     assertTrue(inTheCopy.requests >= none.requests + 3 * ended / 1000, "" + inTheCopy);
   }
 }
--- a/src/test/java/io/tansystack/sim/HalfHeardTest.java
+++ b/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
@@ -23,8 +23,8 @@
  * Who is heard but doesn't hear, messages that come once more, controllers that keep their workers and
  * nothing else, and processes that are back before anybody noticed. Nothing accepted is forgotten.
  */
-class HalfHeardTest extends SimCluster {
-  private final Users users = new Users(this);
+class PartialConnectivityTest extends SimCluster {
+  private final SimUsers users = new SimUsers(this);
   private int jobs;
 
   private void running(int controllers, int machines, int tasks) throws Exception {
@@ -40,7 +40,7 @@
 
   private void work(int tasks) {
     String id = String.format("wk-%06d", jobs++);
-    users.submit(spec(id, tasks), Users.ANY);
+    users.submit(spec(id, tasks), SimUsers.ANY);
     loop.runFor(Duration.ofSeconds(1));
   }
 
@@ -84,7 +84,7 @@
     running(3, 12, 40);
     workers.keySet().stream().limit(4).forEach(unhearing::add);
     loop.runFor(Duration.ofSeconds(2));
-    users.cancel("wk-000000", Users.ANY);
+    users.cancel("wk-000000", SimUsers.ANY);
     loop.runFor(Duration.ofSeconds(62));
     workers.values().forEach(worker -> assertEquals(List.of(), worker.live(), worker.name()));
     assertEquals(Set.of(), users.judge().broken);
--- a/src/test/java/io/tansystack/sim/DrawnDay.java
+++ b/src/test/java/io/tansystack/sim/RandomFaultRun.java
@@ -1,13 +1,13 @@
 package io.tansystack.sim;
 
-import io.tansystack.emulator.EmulatedWorker;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.tansystack.emulator.EmulatedWorker;
 import io.tansystack.settings.SettingsTest;
-import io.tansystack.sim.Users.Told;
+import io.tansystack.sim.SimUsers.UserJob;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -19,11 +19,11 @@
  * A day on which some troubles meet, played with users who submit, ask and cancel all the time. What
  * happens follows from a seed alone; a trouble can be left out without changing when the others come.
  */
-final class DrawnDay extends SimCluster {
+final class RandomFaultRun extends SimCluster {
   private static final Duration CALM = Duration.ofSeconds(280);
 
   /** What may happen. */
-  enum Kind {
+  enum FaultKind {
     OUTAGE, REFUSED, SLOW_STORE, LATE_WRITES, APART, SILENT, DEAF, PEERS_REFUSE, FROZEN, ENDS, BLINKS, ALL_END,
     ONE_OF_ALL_BACK, UNHEARD, UNHEARING, HUNG, COPIES, HELD, LOSSES, DELETIONS_LATE, UNCOMMANDED,
     // From here on in wide days only: what later pages told of.
@@ -35,24 +35,24 @@
   static final long WIDE = 100_000;
 
   /** A trouble, from a moment on for a while, in milliseconds; {@code draw} chooses whom it strikes. */
-  record Trouble(Kind kind, int atMs, int lastsMs, int draw) {}
+  record Fault(FaultKind kind, int atMs, int lastsMs, int draw) {}
 
   private final long seed;
-  private final List<Trouble> troubles;
-  private Users users;
+  private final List<Fault> troubles;
+  private SimUsers users;
   private int jobs;
 
-  private DrawnDay(long seed, List<Trouble> troubles) {
+  private RandomFaultRun(long seed, List<Fault> troubles) {
     this.seed = seed;
     this.troubles = troubles;
   }
 
   /** Two to four troubles that overlap, end together, or follow each other by milliseconds. */
-  static List<Trouble> draw(long seed) {
+  static List<Fault> draw(long seed) {
     Random draws = new Random(seed);
     // Around the bounds of the settings: of a record, of validity, of a worker's lease, of a cancellation.
     int[] bounds = {300, 2500, 4500, 8000, 17_000, 18_000, 36_000, 43_000, 61_000};
-    List<Trouble> drawn = new ArrayList<>();
+    List<Fault> drawn = new ArrayList<>();
     int at = 1000 + draws.nextInt(4000);
     int end = at;
     for (int left = 2 + draws.nextInt(3); left > 0; left--) {
@@ -63,24 +63,24 @@
             case 1 -> Math.max(0, end - lasts); // Both end at once.
             default -> end + draws.nextInt(30) - 15; // Just after the other, or just before its end.
           };
-      int kinds = seed > WIDE ? Kind.values().length : Kind.ANSWERS_LOST.ordinal();
-      Kind kind = Kind.values()[draws.nextInt(kinds)];
-      drawn.add(new Trouble(kind, Math.max(0, from), lasts, draws.nextInt(1000)));
+      int kinds = seed > WIDE ? FaultKind.values().length : FaultKind.ANSWERS_LOST.ordinal();
+      FaultKind kind = FaultKind.values()[draws.nextInt(kinds)];
+      drawn.add(new Fault(kind, Math.max(0, from), lasts, draws.nextInt(1000)));
       end = Math.max(end, Math.max(0, from) + lasts);
     }
     return drawn;
   }
 
   /** Plays the seed's day with these of its troubles; tells which rules were broken. */
-  static Set<String> play(long seed, List<Trouble> troubles) throws Exception {
-    return new DrawnDay(seed, troubles).play();
+  static Set<String> play(long seed, List<Fault> troubles) throws Exception {
+    return new RandomFaultRun(seed, troubles).play();
   }
 
   /** The shortest sequence found that still breaks a rule, by leaving out one trouble after the other. */
-  static List<Trouble> shortest(long seed, List<Trouble> failing) throws Exception {
-    List<Trouble> left = new ArrayList<>(failing);
-    for (Trouble trouble : failing) {
-      List<Trouble> without = new ArrayList<>(left);
+  static List<Fault> shortest(long seed, List<Fault> failing) throws Exception {
+    List<Fault> left = new ArrayList<>(failing);
+    for (Fault trouble : failing) {
+      List<Fault> without = new ArrayList<>(left);
       without.remove(trouble);
       if (!play(seed, without).isEmpty()) {
         left = without;
@@ -105,7 +105,7 @@
     if (seed > WIDE) {
       widen();
     }
-    users = new Users(this);
+    users = new SimUsers(this);
     for (int i = 0; i < controllerCount; i++) {
       boot(i);
     }
@@ -115,7 +115,7 @@
     }
     loop.runFor(Duration.ofSeconds(16));
     int last = 0;
-    for (Trouble trouble : troubles) {
+    for (Fault trouble : troubles) {
       loop.after(Duration.ofMillis(trouble.atMs), () -> begin(trouble));
       loop.after(Duration.ofMillis(trouble.atMs + trouble.lastsMs), () -> end(trouble));
       last = Math.max(last, trouble.atMs + trouble.lastsMs);
@@ -133,13 +133,15 @@
     users.calm();
     // Services run for ever and would keep their teams at their limits: what ends by itself is owed an end.
     users.jobs.forEach((id, told) -> {
-      if (told.spec.shape() == Shape.SERVICE && !told.asksToCancel) {
-        users.cancel(id, Users.ANY);
+      if (told.spec.shape() == JobKind.SERVICE && !told.asksToCancel) {
+        users.cancel(id, SimUsers.ANY);
       }
     });
     loop.runFor(seed > WIDE ? CALM.dividedBy(2) : CALM);
     // A team may have far more work than its limit; whether others wait meanwhile is judged all the time.
-    for (int i = 0; seed > WIDE && i < 30 && !users.jobs.values().stream().allMatch(Told::over); i++) {
+    for (int i = 0;
+        seed > WIDE && i < 30 && !users.jobs.values().stream().allMatch(UserJob::over);
+        i++) {
       loop.runFor(Duration.ofSeconds(30));
     }
     users.closeLooks = false;
@@ -170,22 +172,23 @@
   private JobSpec wideSpec() {
     boolean spread = random.nextInt(5) == 0;
     boolean together = !spread && random.nextInt(4) == 0;
-    Shape shape = Shape.values()[random.nextInt(10) == 0 ? 2 : random.nextInt(2)];
+    JobKind shape = JobKind.values()[random.nextInt(10) == 0 ? 2 : random.nextInt(2)];
     int gpus = random.nextInt(6) == 0 ? 1 : 0;
     int tasks = 1 + (random.nextInt(12) == 0 ? 5 + random.nextInt(3) : random.nextInt(4));
-    tasks = shape == Shape.ARRAY ? tasks : Math.min(tasks, 2 + random.nextInt(2));
+    tasks = shape == JobKind.ARRAY ? tasks : Math.min(tasks, 2 + random.nextInt(2));
     return new JobSpec(
         String.format("wk-%06d", jobs++), "c" + random.nextInt(3), gpus == 0 && random.nextBoolean() ? "ops" : "vision",
         shape, Priority.values()[random.nextInt(Priority.values().length)], gpus > 0 ? Math.min(2, tasks) : tasks,
         1 + random.nextInt(2), gpus, 1, "img" + random.nextInt(3), 1,
         random.nextInt(5) == 0 ? List.of("large") : null,
         !spread && random.nextInt(5) == 0 ? "b" : null, together, spread, random.nextBoolean(),
-        shape == Shape.SERVICE ? 0 : 20, random.nextInt(2) * 5, 2, random.nextInt(3) == 0 ? 100.0 : null);
+        shape == JobKind.SERVICE ? 0 : 20, random.nextInt(2) * 5, 2,
+        random.nextInt(3) == 0 ? 100.0 : null);
   }
 
   private void submit() {
     if (seed > WIDE) {
-      users.submit(wideSpec(), Users.ANY);
+      users.submit(wideSpec(), SimUsers.ANY);
       return;
     }
     boolean spread = random.nextInt(4) == 0;
@@ -194,16 +197,17 @@
     int tasks = 1 + random.nextInt(4);
     users.submit(
         new JobSpec(
-            String.format("wk-%06d", jobs++), "c", "vision", random.nextInt(4) == 0 ? Shape.GANG : Shape.ARRAY,
+            String.format("wk-%06d", jobs++), "c", "vision",
+            random.nextInt(4) == 0 ? JobKind.GANG : JobKind.ARRAY,
             Priority.values()[random.nextInt(Priority.values().length)], tasks, 1, 0, 1,
             "img" + random.nextInt(3), 1, null, zone, together, spread, false, 20,
             random.nextInt(2) * 5, 2, null),
-        Users.ANY);
+        SimUsers.ANY);
   }
 
   private void visit() {
     switch (random.nextInt(4)) {
-      case 0 -> users.cancel(String.format("wk-%06d", random.nextInt(jobs)), Users.ANY);
+      case 0 -> users.cancel(String.format("wk-%06d", random.nextInt(jobs)), SimUsers.ANY);
       case 1 -> users.askForNone("wk-999999");
       default -> submit();
     }
@@ -214,10 +218,12 @@
     List<EmulatedWorker> hit = new ArrayList<>();
     for (EmulatedWorker worker : workers.values()) {
       for (String task : worker.live()) {
-        Told told = users.jobs.get(task.substring(0, task.indexOf('/')));
+        UserJob told = users.jobs.get(task.substring(0, task.indexOf('/')));
         if (hit.size() < count && told != null && !told.asksToCancel && told.accepted != null) {
           hit.add(worker);
-          loop.after(Duration.ofMillis(random.nextInt(200)), () -> users.cancel(told.spec.id(), Users.ANY));
+          loop.after(
+              Duration.ofMillis(random.nextInt(200)),
+              () -> users.cancel(told.spec.id(), SimUsers.ANY));
         }
       }
     }
@@ -225,18 +231,18 @@
   }
 
   /** Repetitions of what is under way, cancellations of what is done, and what fits no machine or lacks a field. */
-  private void odd(Trouble trouble, Duration until) {
+  private void odd(Fault trouble, Duration until) {
     if (loop.now().compareTo(until) >= 0 || jobs == 0) {
       return;
     }
-    Told told = users.jobs.get(String.format("wk-%06d", random.nextInt(jobs)));
+    UserJob told = users.jobs.get(String.format("wk-%06d", random.nextInt(jobs)));
     ObjectNode body = told.spec.write();
     switch (random.nextInt(4)) {
-      case 0 -> users.repeat(told, Users.ANY, Cbor.encode(body));
-      case 1 -> users.repeat(told, Users.ANY, Cbor.encode(body.put("Wagons", "many")));
+      case 0 -> users.repeat(told, SimUsers.ANY, Cbor.encode(body));
+      case 1 -> users.repeat(told, SimUsers.ANY, Cbor.encode(body.put("Wagons", "many")));
       case 2 -> {
         if (told.done != null || told.asksToCancel) {
-          users.cancelOnce(told, Users.ANY);
+          users.cancelOnce(told, SimUsers.ANY);
         }
       }
       default -> {
@@ -252,9 +258,9 @@
   private void stream(int left) {
     if (left > 0) {
       String id = String.format("wk-%06d", jobs++);
-      users.submit(spec(id, 1), Users.ANY);
+      users.submit(spec(id, 1), SimUsers.ANY);
       if (random.nextInt(4) == 0) {
-        loop.after(Duration.ofMillis(random.nextInt(9000)), () -> users.cancel(id, Users.ANY));
+        loop.after(Duration.ofMillis(random.nextInt(9000)), () -> users.cancel(id, SimUsers.ANY));
       }
       loop.after(Duration.ofMillis(250), () -> stream(left - 1));
     }
@@ -267,18 +273,18 @@
   }
 
   /** The leader as often as another. */
-  private int victim(Trouble trouble) {
+  private int victim(Fault trouble) {
     return trouble.draw % 2 == 0 && store.value("ts/fleet") != null
         ? holder("ts/fleet")
         : trouble.draw % controllerCount;
   }
 
-  private List<EmulatedWorker> some(Trouble trouble) {
+  private List<EmulatedWorker> some(Fault trouble) {
     List<EmulatedWorker> all = List.copyOf(workers.values());
     return all.subList(0, all.size() * (1 + trouble.draw % 3) / 3);
   }
 
-  private void begin(Trouble trouble) {
+  private void begin(Fault trouble) {
     int victim = victim(trouble);
     Duration lasts = Duration.ofMillis(trouble.lastsMs);
     switch (trouble.kind) {
@@ -304,7 +310,8 @@
       case ALL_END, ONE_OF_ALL_BACK -> {
         for (int i = 0; i < controllerCount; i++) {
           int index = i;
-          boolean soon = trouble.kind == Kind.ONE_OF_ALL_BACK ? i == victim : trouble.draw % 2 == 0;
+          boolean soon =
+              trouble.kind == FaultKind.ONE_OF_ALL_BACK ? i == victim : trouble.draw % 2 == 0;
           killIfThere(i);
           loop.after(soon ? Duration.ofMillis(100 + 40L * i) : lasts.plusMillis(300L * i), () -> bootIfAway(index));
         }
@@ -358,7 +365,7 @@
     }
   }
 
-  private void end(Trouble trouble) {
+  private void end(Fault trouble) {
     switch (trouble.kind) {
       case ANSWERS_LOST -> answersLost = 0;
       case COPIES_FOR_NEXT -> copiesForNext = false;
--- a/src/test/java/io/tansystack/sim/PairsTest.java
+++ b/src/test/java/io/tansystack/sim/RandomFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.tansystack.sim.DrawnDay.Trouble;
+import io.tansystack.sim.RandomFaultRun.Fault;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -12,18 +12,19 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Two to four troubles out of all pages that meet, drawn; every rule is judged, {@code forgotten} by job. */
-class PairsTest {
+class RandomFaultsTest {
   /**
    * Those that have found something once: 721 and 1074 reads that were older than what the copy showed, the
    * others gangs that waited for ever, since machines were rented in a zone where they have no use for them.
    */
-  private static final long[] FOUND = {721, 1074, DrawnDay.WIDE + 10, DrawnDay.WIDE + 55};
+  private static final long[] FOUND =
+      {721, 1074, RandomFaultRun.WIDE + 10, RandomFaultRun.WIDE + 55};
 
   /** Some dozens, or those that {@code tansystack.pairs} names as {@code FROM-TO}. */
   static LongStream seeds() {
     String named = System.getProperty("tansystack.pairs", "");
     if (named.isEmpty()) {
-      LongStream wide = LongStream.rangeClosed(DrawnDay.WIDE + 11, DrawnDay.WIDE + 50);
+      LongStream wide = LongStream.rangeClosed(RandomFaultRun.WIDE + 11, RandomFaultRun.WIDE + 50);
       return LongStream.concat(
           LongStream.concat(LongStream.rangeClosed(1, 40), LongStream.of(FOUND)), wide);
     }
@@ -34,10 +35,10 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void noRuleBreaks(long seed) throws Exception {
-    List<Trouble> troubles = DrawnDay.draw(seed);
-    Set<String> broken = DrawnDay.play(seed, troubles);
+    List<Fault> troubles = RandomFaultRun.draw(seed);
+    Set<String> broken = RandomFaultRun.play(seed, troubles);
     if (!broken.isEmpty()) {
-      List<Trouble> shortest = DrawnDay.shortest(seed, troubles);
+      List<Fault> shortest = RandomFaultRun.shortest(seed, troubles);
       assertEquals(Set.of(), broken, "seed " + seed + " with " + troubles + ", shortest found: " + shortest);
     }
   }
@@ -45,8 +46,9 @@
   /** A day repeats itself, or its failure could not be looked into; troubles left out don't move the others. */
   @Test
   void aSeedsDayIsTheSameEveryTime() throws Exception {
-    List<Trouble> troubles = DrawnDay.draw(5);
-    assertEquals(troubles, DrawnDay.draw(5));
-    assertEquals(DrawnDay.play(5, troubles), DrawnDay.play(5, new ArrayList<>(troubles)));
+    List<Fault> troubles = RandomFaultRun.draw(5);
+    assertEquals(troubles, RandomFaultRun.draw(5));
+    assertEquals(
+        RandomFaultRun.play(5, troubles), RandomFaultRun.play(5, new ArrayList<>(troubles)));
   }
 }
--- a/src/test/java/io/tansystack/sim/CloseLooksTest.java
+++ b/src/test/java/io/tansystack/sim/ReadConsistencyTest.java
@@ -12,7 +12,7 @@
  * Users ask at all nodes within milliseconds after a job was accepted, has ended or was cancelled, repeat the
  * submission and the cancellation there, and hear nothing older than what any node has told.
  */
-class CloseLooksTest extends Meeting {
+class ReadConsistencyTest extends FaultScenario {
   /** In the middle of which trouble users look closely; some jobs come alone, others many at once. */
   @ParameterizedTest
   @CsvSource({
@@ -57,7 +57,7 @@
       }
       for (int job = from; job < jobs; job += 2) {
         String id = id(job);
-        loop.after(Duration.ofMillis(random.nextInt(6000)), () -> users().cancel(id, Users.ANY));
+        loop.after(Duration.ofMillis(random.nextInt(6000)), () -> users().cancel(id, SimUsers.ANY));
       }
       loop.runFor(Duration.ofSeconds(3));
       refused = -1;
@@ -86,7 +86,7 @@
         task -> {
           if (task.endsWith("/" + (tasks - 1))) {
             String id = task.substring(0, task.indexOf('/'));
-            loop.after(Duration.ofMillis(ms), () -> users().cancel(id, Users.ANY));
+            loop.after(Duration.ofMillis(ms), () -> users().cancel(id, SimUsers.ANY));
             loop.after(Duration.ofMillis(ms), () -> users().lookClosely(users().jobs.get(id)));
           }
         });
--- a/src/test/java/io/tansystack/sim/SimCluster.java
+++ b/src/test/java/io/tansystack/sim/SimCluster.java
@@ -1,12 +1,12 @@
 package io.tansystack.sim;
 
-import io.tansystack.emulator.EmulatedWorker;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.tansystack.cli.Controller;
+import io.tansystack.emulator.EmulatedWorker;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -85,7 +85,7 @@
 
   static JobSpec spec(String id, int tasks) {
     return new JobSpec(
-        id, "c", "vision", Shape.ARRAY, Priority.NORMAL, tasks, 1, 0, 1, "img", 1, null, null,
+        id, "c", "vision", JobKind.ARRAY, Priority.NORMAL, tasks, 1, 0, 1, "img", 1, null, null,
         false, false, false, 20, 0, 0, null);
   }
 
--- a/src/test/java/io/tansystack/sim/SimLoop.java
+++ b/src/test/java/io/tansystack/sim/SimEventLoop.java
@@ -1,12 +1,12 @@
 package io.tansystack.sim;
 
-import io.tansystack.http.Loop;
+import io.tansystack.http.EventLoop;
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
 /** Simulated time: events run in the order of their moments, and of their making. */
-public final class SimLoop implements Loop {
+public final class SimEventLoop implements EventLoop {
   private static final class Event implements Timer {
     final Duration at;
     final long order;
@@ -60,18 +60,18 @@
   }
 
   /** The loop of one process: nothing of it runs after its end. */
-  Mortal process() {
-    return new Mortal();
+  ProcessLoop process() {
+    return new ProcessLoop();
   }
 
   /** A view of the loop that can be killed without a sign. */
-  final class Mortal implements Loop {
+  final class ProcessLoop implements EventLoop {
     boolean dead;
     private Duration frozenUntil = Duration.ZERO;
 
     @Override
     public Duration now() {
-      return SimLoop.this.now();
+      return SimEventLoop.this.now();
     }
 
     /** Stands still for so long while its clock runs on; what was due meanwhile runs afterwards. */
@@ -85,7 +85,7 @@
         return;
       }
       if (now().compareTo(frozenUntil) < 0) {
-        SimLoop.this.after(frozenUntil.minus(now()), () -> run(task));
+        SimEventLoop.this.after(frozenUntil.minus(now()), () -> run(task));
       } else {
         task.run();
       }
@@ -95,7 +95,7 @@
     public Timer after(Duration delay, Runnable task) {
       boolean[] cancelled = {false};
       Timer timer =
-          SimLoop.this.after(
+          SimEventLoop.this.after(
               delay,
               () ->
                   run(
--- a/src/test/java/io/tansystack/sim/SimTroubles.java
+++ b/src/test/java/io/tansystack/sim/SimFaults.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /** What goes wrong in a simulated cluster: tests switch it on and off at any moment. */
-abstract class SimTroubles {
+abstract class SimFaults {
   /** Whether the state service is away for everybody. */
   boolean outage;
 
--- a/src/test/java/io/tansystack/sim/SimFleet.java
+++ b/src/test/java/io/tansystack/sim/SimFleet.java
@@ -1,8 +1,8 @@
 package io.tansystack.sim;
 
-import io.tansystack.emulator.EmulatedWorker;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.tansystack.cli.Controller;
+import io.tansystack.emulator.EmulatedWorker;
 import io.tansystack.http.HttpServer.Reply;
 import io.tansystack.wire.Cbor;
 import java.time.Duration;
--- a/src/test/java/io/tansystack/sim/SimNetwork.java
+++ b/src/test/java/io/tansystack/sim/SimNetwork.java
@@ -2,21 +2,21 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.tansystack.cli.Controller;
-import io.tansystack.emulator.EmulatedCloud.MachinePark;
+import io.tansystack.emulator.EmulatedCloud.MachineProvider;
 import io.tansystack.emulator.EmulatedCloud;
 import io.tansystack.emulator.EmulatedGangs;
 import io.tansystack.emulator.EmulatedStore;
 import io.tansystack.emulator.EmulatedWorker;
 import io.tansystack.emulator.StoreLimits;
 import io.tansystack.emulator.WorkerEnvironment;
-import io.tansystack.http.HttpCaller;
+import io.tansystack.http.EventLoop;
+import io.tansystack.http.HttpClient;
 import io.tansystack.http.HttpServer.Reply;
-import io.tansystack.http.Loop;
 import io.tansystack.settings.OperatorSettings;
 import io.tansystack.settings.PlatformSettings;
 import io.tansystack.settings.SettingsTest;
-import io.tansystack.wire.BadInput;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.InvalidMessageException;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.MachineType;
 import io.tansystack.wire.TaskId;
@@ -42,15 +42,15 @@
  * time, and what lies between them: the network loses answers, delays requests by up to minutes, and
  * controllers are killed at any moment.
  */
-abstract class SimNetwork extends SimTroubles implements WorkerEnvironment, MachinePark {
+abstract class SimNetwork extends SimFaults implements WorkerEnvironment, MachineProvider {
   static final InetSocketAddress STORE = new InetSocketAddress("127.0.0.1", 2379);
   static final InetSocketAddress CLOUD = new InetSocketAddress("127.0.0.1", 8443);
 
-  final SimLoop loop = new SimLoop();
+  final SimEventLoop loop = new SimEventLoop();
   final EmulatedStore store = new EmulatedStore(loop, StoreLimits.none(), () -> this.outage);
   final Map<String, EmulatedWorker> workers = new LinkedHashMap<>();
   final Map<Integer, Controller> controllers = new HashMap<>();
-  final Map<Integer, SimLoop.Mortal> processes = new HashMap<>();
+  final Map<Integer, SimEventLoop.ProcessLoop> processes = new HashMap<>();
   final List<String> started = new ArrayList<>();
   final Set<String> broken = new HashSet<>();
   Random random = new Random(1);
@@ -138,7 +138,7 @@
   }
 
   @Override
-  public Loop loop() {
+  public EventLoop loop() {
     return loop;
   }
 
@@ -294,7 +294,7 @@
   abstract void check();
 
   void boot(int index) throws Exception {
-    SimLoop.Mortal process = loop.process();
+    SimEventLoop.ProcessLoop process = loop.process();
     long wrongMs = clockOff.isZero() ? 0 : random.nextLong(-clockOff.toMillis(), clockOff.toMillis() + 1);
     Controller controller =
         new Controller(
@@ -315,7 +315,7 @@
   }
 
   /** Carries requests to the stand-ins and controllers, with delays, losses and late deliveries. */
-  HttpCaller caller(SimLoop.Mortal from, int index) {
+  HttpClient caller(SimEventLoop.ProcessLoop from, int index) {
     return (to, method, path, body, timeout, outcome) -> {
       if (to.equals(STORE) && (index == refused || outage)) {
         from.execute(() -> outcome.answer(503, Cbor.encode(Cbor.map())));
@@ -389,7 +389,11 @@
   }
 
   private void garble(
-      InetSocketAddress from, String path, int status, byte[] answer, HttpCaller.Outcome outcome) {
+      InetSocketAddress from,
+      String path,
+      int status,
+      byte[] answer,
+      HttpClient.ResponseHandler outcome) {
     String who = from.equals(STORE) ? "store" : from.equals(CLOUD) ? "cloud" : from.getPort() >= 9000 ? "workers" : "peers";
     boolean meant = (garbledBy.isEmpty() || garbledBy.equals(who)) && path.startsWith(garbledPath);
     if (!meant || !drawn(garbled)) {
@@ -490,7 +494,7 @@
   static ObjectNode decode(byte[] body) {
     try {
       return body == null ? Cbor.map() : Cbor.decodeMap(body);
-    } catch (BadInput e) {
+    } catch (InvalidMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/test/java/io/tansystack/sim/Users.java
+++ b/src/test/java/io/tansystack/sim/SimUsers.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.tansystack.cli.Controller;
 import io.tansystack.wire.Cbor;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -13,9 +13,9 @@
 /**
  * Users who submit, poll and cancel as published, at whichever controller the load balancer gives them or
  * at one of their choice, and remember what they were told. They know nothing of the service but its
- * answers; {@link Judge} says whether these can be.
+ * answers; {@link HistoryChecker} says whether these can be.
  */
-final class Users {
+final class SimUsers {
   private static final Duration POLL_EVERY = Duration.ofSeconds(5);
   private static final Duration AGAIN = Duration.ofSeconds(1);
   private static final Duration POLL_TIMEOUT = Duration.ofSeconds(2);
@@ -25,7 +25,7 @@
   static final int ANY = -1;
 
   /** What a user knows of a job, with the moments of the first answers that said so; null for none. */
-  static final class Told {
+  static final class UserJob {
     final JobSpec spec;
     Duration submitted = Duration.ZERO;
     Duration accepted;
@@ -38,7 +38,7 @@
     /** The longest time without an answer since all troubles were over. */
     Duration longest = Duration.ZERO;
 
-    Told(JobSpec spec) {
+    UserJob(JobSpec spec) {
       this.spec = spec;
     }
 
@@ -51,17 +51,17 @@
     }
 
     /** What the user has been told up to now. */
-    Known known() {
-      return new Known(accepted != null, over());
+    ObservedState known() {
+      return new ObservedState(accepted != null, over());
     }
   }
 
   /** What any node had told a user of a job when a question was asked. */
-  record Known(boolean accepted, boolean over) {}
+  record ObservedState(boolean accepted, boolean over) {}
 
   private final SimCluster cluster;
-  private final Judge judge;
-  final Map<String, Told> jobs = new LinkedHashMap<>();
+  private final HistoryChecker judge;
+  final Map<String, UserJob> jobs = new LinkedHashMap<>();
   private Duration calmSince;
 
   /** How many answers to questions about jobs they have had. */
@@ -75,13 +75,13 @@
 
   private static final int[] CLOSE_MS = {0, 1, 3, 10, 25, 50};
 
-  Users(SimCluster cluster) {
+  SimUsers(SimCluster cluster) {
     this.cluster = cluster;
-    this.judge = new Judge(cluster, this);
+    this.judge = new HistoryChecker(cluster, this);
     cluster.onCompleted.add(this::completed);
   }
 
-  Judge judge() {
+  HistoryChecker judge() {
     return judge;
   }
 
@@ -108,25 +108,25 @@
     return waits;
   }
 
-  private Duration sinceAnswer(Told told) {
+  private Duration sinceAnswer(UserJob told) {
     Duration from = told.lastAnswer.compareTo(calmSince) > 0 ? told.lastAnswer : calmSince;
     return cluster.loop.now().minus(from);
   }
 
   /** Submits until it is accepted, and then asks about it for ever. */
   void submit(JobSpec spec, int at) {
-    Told told = new Told(spec);
+    UserJob told = new UserJob(spec);
     told.submitted = cluster.loop.now();
     jobs.put(spec.id(), told);
     cluster.uploaded.put(spec.id(), spec);
-    if (spec.shape() == Shape.GANG) {
+    if (spec.shape() == JobKind.GANG) {
       cluster.gangSizes.put(spec.id(), spec.tasks());
     }
     submitAgain(told, at);
   }
 
-  private void submitAgain(Told told, int at) {
-    Known known = told.known();
+  private void submitAgain(UserJob told, int at) {
+    ObservedState known = told.known();
     ask(at, "POST", "/v1/jobs", Cbor.encode(told.spec.write()), TIMEOUT, (status, body) -> {
       answered(told, known, status, body);
       if (status == 200 || status == 201) {
@@ -138,8 +138,8 @@
   }
 
   /** Submits an accepted job once more, whatever the body holds besides its id. */
-  void repeat(Told told, int at, byte[] body) {
-    Known known = told.known();
+  void repeat(UserJob told, int at, byte[] body) {
+    ObservedState known = told.known();
     ask(at, "POST", "/v1/jobs", body, TIMEOUT, (status, answer) -> answered(told, known, status, answer));
   }
 
@@ -150,7 +150,7 @@
   }
 
   /** Asks about a job at once at every node, submits it there again, and cancels it again if it was cancelled. */
-  void lookClosely(Told told) {
+  void lookClosely(UserJob told) {
     byte[] again = Cbor.encode(told.spec.write());
     for (int i = 0; i < cluster.controllerCount; i++) {
       int node = i;
@@ -166,7 +166,7 @@
 
   /** A task has ended on its machine; if it was its job's last, some call the job off that very moment. */
   private void completed(String task) {
-    Told told = jobs.get(task.substring(0, task.indexOf('/')));
+    UserJob told = jobs.get(task.substring(0, task.indexOf('/')));
     boolean all = told != null && !told.asksToCancel;
     for (int i = 0; all && i < told.spec.tasks(); i++) {
       all = cluster.completed.contains(told.spec.id() + "/" + i);
@@ -180,9 +180,9 @@
 
   /** Cancels until it is confirmed. */
   void cancel(String id, int at) {
-    Told told = jobs.get(id);
+    UserJob told = jobs.get(id);
     told.asksToCancel = true;
-    Known known = told.known();
+    ObservedState known = told.known();
     ask(at, "POST", "/v1/jobs/" + id + "/abort", new byte[0], TIMEOUT, (status, body) -> {
       answered(told, known, status, body);
       if (status != 200) {
@@ -192,19 +192,19 @@
   }
 
   /** Cancels once more, without insisting; the user has asked for that before, or it is over. */
-  void cancelOnce(Told told, int at) {
-    Known known = told.known();
+  void cancelOnce(UserJob told, int at) {
+    ObservedState known = told.known();
     ask(at, "POST", "/v1/jobs/" + told.spec.id() + "/abort", new byte[0], TIMEOUT,
         (status, body) -> answered(told, known, status, body));
   }
 
-  private void poll(Told told) {
+  private void poll(UserJob told) {
     cluster.loop.after(POLL_EVERY, () -> poll(told));
     pollAt(told, ANY);
   }
 
-  private void pollAt(Told told, int at) {
-    Known known = told.known();
+  private void pollAt(UserJob told, int at) {
+    ObservedState known = told.known();
     ask(at, "GET", "/v1/jobs/" + told.spec.id(), new byte[0], POLL_TIMEOUT,
         (status, body) -> answered(told, known, status, body));
   }
@@ -219,17 +219,17 @@
    *
    * @param known what the user had been told of it when it asked
    */
-  void answered(Told told, Known known, int status, byte[] body) {
+  void answered(UserJob told, ObservedState known, int status, byte[] body) {
     answers++;
     judge.answered(told, known, status, body);
     if (status != 200 && status != 201) {
       return;
     }
-    Known before = told.known();
+    ObservedState before = told.known();
     Duration now = cluster.loop.now();
     ObjectNode map = SimNetwork.decode(body);
     String state = map.path("Status").asText();
-    told.last = told.over() && !Told.isOver(state) ? told.last : state;
+    told.last = told.over() && !UserJob.isOver(state) ? told.last : state;
     told.accepted = told.accepted == null ? now : told.accepted;
     told.done = told.done == null && state.equals("done") ? now : told.done;
     told.cancelled = told.cancelled == null && state.equals("withdrawn") ? now : told.cancelled;
--- a/src/test/java/io/tansystack/sim/StreamTest.java
+++ b/src/test/java/io/tansystack/sim/SmallJobStreamTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** One-task jobs, four a second for minutes, a quarter cancelled, at the smallest limits that are used. */
-class StreamTest extends Meeting {
+class SmallJobStreamTest extends FaultScenario {
   private static final int PER_SECOND = 4;
 
   /**
@@ -35,9 +35,10 @@
     for (int i = 0; i < seconds * PER_SECOND; i++) {
       String id = id(jobs++);
       Duration asked = loop.now();
-      users().submit(spec(id, 1), Users.ANY);
+      users().submit(spec(id, 1), SimUsers.ANY);
       if (i % 4 == 0) {
-        loop.after(Duration.ofMillis(1200 + random.nextInt(9000)), () -> users().cancel(id, Users.ANY));
+        loop.after(
+            Duration.ofMillis(1200 + random.nextInt(9000)), () -> users().cancel(id, SimUsers.ANY));
       }
       if (leaderEnds && i == seconds * PER_SECOND / 2) {
         end(Math.max(0, leader()), 3000);
--- a/src/test/java/io/tansystack/sim/IntakeTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Many jobs submitted at once: few writes, and each is a job like any other from that moment on. */
-class IntakeTest extends SimCluster {
+class SubmissionBurstTest extends SimCluster {
   private static final int JOBS = 40;
 
   private List<JobSpec> jobs(int tasks) {
--- a/src/test/java/io/tansystack/sim/AcceptanceTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionValidationTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.tansystack.wire.Cbor;
-import io.tansystack.wire.Shape;
+import io.tansystack.wire.JobKind;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What is accepted and what isn't, at every controller; a job that was accepted once is known whatever comes. */
-class AcceptanceTest extends SimCluster {
+class SubmissionValidationTest extends SimCluster {
   private static final List<String> TEXTS = List.of("Uid", "Consist", "Crew", "Shape", "Urgency", "Cargo");
   private static final List<String> AMOUNTS =
       List.of("Cpus", "Gpus", "MemGb", "PullGb", "TransitS", "WaypointS", "CoupleS");
@@ -252,7 +252,7 @@
       boot(i);
     }
     loop.runFor(Duration.ofSeconds(6));
-    ObjectNode gang = good("wk-000001").put("Shape", Shape.GANG.wire).put("Scatter", true);
+    ObjectNode gang = good("wk-000001").put("Shape", JobKind.GANG.wire).put("Scatter", true);
     allAnswer("two zones", gang, 200, 201);
     allAnswer("bound to one of them", gang.deepCopy().put("Uid", "wk-000002").put("Yard", "a"), 422);
   }
--- a/src/test/java/io/tansystack/sim/TakeoverTest.java
+++ b/src/test/java/io/tansystack/sim/TakeoverTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.tansystack.emulator.EmulatedWorker;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.List;
 import java.util.Random;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** One controller's work changes hands while jobs are cancelled, teams are at their limits, or old reports come. */
-class TakeoverTest extends Meeting {
+class TakeoverTest extends FaultScenario {
   /**
    * Both teams have far more work than their limits, of CPUs and of GPUs; some is cancelled whose machines are
    * cut off or hang, and the leader changes. What is out of reach counts until it is proven over, and what is
@@ -32,7 +32,7 @@
     run = Duration.ofSeconds(12);
     start(4, 18);
     for (int i = 0; i < 16; i++) {
-      Shape shape = i % 4 == 3 ? Shape.GANG : Shape.ARRAY;
+      JobKind shape = i % 4 == 3 ? JobKind.GANG : JobKind.ARRAY;
       boolean gpus = i % 3 == 0;
       submit(i % 2 == 0 ? "vision" : "ops", shape, Priority.values()[i % 4], 1 + i % 3, 2, gpus && i % 2 == 0 ? 1 : 0,
           null, false, false);
@@ -47,12 +47,14 @@
         case "unhearing" -> unhearing.add(worker.name());
         default -> uncommanded.add(worker.name());
       }
-      worker.live().forEach(task -> users().cancel(task.substring(0, task.indexOf('/')), Users.ANY));
+      worker.live().forEach(
+          task -> users().cancel(task.substring(0, task.indexOf('/')), SimUsers.ANY));
     }
     loop.runFor(Duration.ofMillis(700));
     strike(change, holder("ts/fleet"), Duration.ofSeconds(12));
     for (int i = 0; i < 6; i++) {
-      submit(i % 2 == 0 ? "vision" : "ops", Shape.ARRAY, Priority.HIGH, 2, 2, 0, null, false, false);
+      submit(
+          i % 2 == 0 ? "vision" : "ops", JobKind.ARRAY, Priority.HIGH, 2, 2, 0, null, false, false);
       loop.runFor(Duration.ofSeconds(2));
     }
     loop.runFor(Duration.ofSeconds(Math.max(1, seconds - 13)));
@@ -125,7 +127,7 @@
       all.get(random.nextInt(all.size())).die();
       all.stream().limit(3).forEach(worker -> worker.hangUntil(loop.now().plusSeconds(39))); // A session more.
       work(4, 3);
-      users().cancel(id(random.nextInt(jobs)), Users.ANY);
+      users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
       loop.runFor(Duration.ofSeconds(30));
       held = 0.4; // Launches are under way as well.
       heldFor = Duration.ofSeconds(6);
@@ -157,7 +159,7 @@
       work(3, 5);
       loop.runFor(Duration.ofMillis(300 + random.nextInt(2500)));
       end(Math.max(0, leader()), new int[] {100, 700, 5000}[round % 3]);
-      users().cancel(id(random.nextInt(jobs)), Users.ANY);
+      users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
       loop.runFor(Duration.ofMillis(4000 + random.nextInt(6000)));
     }
     loop.runFor(Duration.ofSeconds(13));
@@ -179,7 +181,7 @@
     garbled = share;
     for (int round = 0; round < 6; round++) {
       work(2, 3);
-      users().cancel(id(random.nextInt(jobs)), Users.ANY);
+      users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
       if (round % 2 == 1) {
         end(Math.max(0, leader()), 700);
       }
@@ -226,7 +228,7 @@
     launchesRefused = 0.3;
     run = Duration.ofSeconds(9);
     for (int round = 0; round < 25; round++) {
-      submit("vision", Shape.GANG, Priority.NORMAL, 3, 3, 0, null, false, false);
+      submit("vision", JobKind.GANG, Priority.NORMAL, 3, 3, 0, null, false, false);
       loop.runFor(Duration.ofMillis(900 + random.nextInt(3000)));
     }
     allIsWell("launches answered with 500");
@@ -240,7 +242,7 @@
     run = Duration.ofSeconds(30);
     running(4, 14, 20, 2);
     for (int i = 0; i < 5; i++) {
-      users().cancel(id(i), Users.ANY);
+      users().cancel(id(i), SimUsers.ANY);
     }
     loop.runFor(Duration.ofMillis(30));
     for (int i = 0; i < 4; i++) {
@@ -248,7 +250,7 @@
     }
     for (int i = 5; i < 15; i++) {
       String id = id(i);
-      loop.after(Duration.ofSeconds(seconds * (i - 5) / 6), () -> users().cancel(id, Users.ANY));
+      loop.after(Duration.ofSeconds(seconds * (i - 5) / 6), () -> users().cancel(id, SimUsers.ANY));
     }
     work(3, 2);
     if (inOutage) {
@@ -274,7 +276,7 @@
         loop.after(Duration.ofSeconds(17), () -> outage = false);
       }
       work(2, 2);
-      users().cancel(id(random.nextInt(jobs)), Users.ANY);
+      users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
       loop.runFor(Duration.ofSeconds(everyS));
     }
     loop.runFor(Duration.ofSeconds(20));
--- a/src/test/java/io/tansystack/sim/PlacesTest.java
+++ b/src/test/java/io/tansystack/sim/ZoneFaultsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.tansystack.emulator.EmulatedWorker;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.Priority;
-import io.tansystack.wire.Shape;
 import java.time.Duration;
 import java.util.List;
 import java.util.Random;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Zones that are cut off or lose machines, machines that reach nobody, and more work than room. */
-class PlacesTest extends Meeting {
+class ZoneFaultsTest extends FaultScenario {
   /**
    * A zone with workers and controllers is cut off for less and for longer than a lease, the leader on either
    * side. Inside work ends, and some of it was cancelled outside; outside jobs are accepted and cancelled.
@@ -30,14 +30,16 @@
     run = Duration.ofSeconds(25);
     start(4, 16);
     for (int i = 0; i < 24; i++) {
-      submit("vision", i % 6 == 5 ? Shape.SERVICE : i % 4 == 3 ? Shape.GANG : Shape.ARRAY, Priority.values()[i % 4],
+      submit("vision",
+          i % 6 == 5 ? JobKind.SERVICE : i % 4 == 3 ? JobKind.GANG : JobKind.ARRAY,
+          Priority.values()[i % 4],
           1 + i % 3, 1, 0, i % 5 == 0 ? "b" : null, i % 7 == 1, i % 7 == 2);
     }
     loop.runFor(Duration.ofSeconds(14));
     cutZone = zone;
     for (int i = 0; i < 12; i++) {
       String id = id(i);
-      loop.after(Duration.ofMillis(seconds * 80L * i), () -> users().cancel(id, Users.ANY));
+      loop.after(Duration.ofMillis(seconds * 80L * i), () -> users().cancel(id, SimUsers.ANY));
     }
     work(5, 2);
     if (leaderEnds) {
@@ -63,7 +65,7 @@
     machines().stream().limit(count).forEach(worker -> unheard.add(worker.name()));
     for (int i = 0; i < 8; i++) {
       String id = id(i);
-      loop.after(Duration.ofMillis(seconds * 100L * i), () -> users().cancel(id, Users.ANY));
+      loop.after(Duration.ofMillis(seconds * 100L * i), () -> users().cancel(id, SimUsers.ANY));
     }
     work(4, 2);
     loop.runFor(Duration.ofSeconds(seconds));
@@ -85,12 +87,13 @@
     held = late;
     heldFor = Duration.ofSeconds(5);
     start(3, 6);
-    users().submit(spec(id(jobs++), 300), Users.ANY);
-    submit("vision", Shape.GANG, Priority.LOW, 8, 2, 0, null, false, false);
+    users().submit(spec(id(jobs++), 300), SimUsers.ANY);
+    submit("vision", JobKind.GANG, Priority.LOW, 8, 2, 0, null, false, false);
     for (int round = 0; round < 40; round++) {
-      submit("vision", Shape.ARRAY, Priority.values()[round % 4], 1 + round % 5, 1 + round % 2, 0, null, false, false);
+      submit("vision", JobKind.ARRAY, Priority.values()[round % 4],
+          1 + round % 5, 1 + round % 2, 0, null, false, false);
       if (round % 6 == 0) {
-        users().cancel(id(2 + random.nextInt(jobs - 2)), Users.ANY);
+        users().cancel(id(2 + random.nextInt(jobs - 2)), SimUsers.ANY);
       }
       loop.runFor(Duration.ofMillis(1500));
     }
@@ -109,7 +112,7 @@
     run = Duration.ofSeconds(20);
     start(4, 18);
     for (int i = 0; i < 18; i++) {
-      Shape shape = Shape.values()[i % 3];
+      JobKind shape = JobKind.values()[i % 3];
       boolean scatter = i % 6 > 3;
       submit("vision", shape, Priority.values()[i % 4], scatter ? 2 : 1 + i % 4, 1, 0, scatter ? null : "b", i % 2 == 0,
           scatter && i % 2 == 1);
@@ -122,7 +125,7 @@
     loop.runFor(Duration.ofSeconds(1));
     strike(change, holder("ts/fleet"), Duration.ofSeconds(11));
     loop.runFor(Duration.ofSeconds(5));
-    submit("vision", Shape.GANG, Priority.NORMAL, 3, 1, 0, "b", false, false);
+    submit("vision", JobKind.GANG, Priority.NORMAL, 3, 1, 0, "b", false, false);
     loop.runFor(Duration.ofSeconds(fullS));
     full.clear();
     loop.runFor(Duration.ofSeconds(25));
--- a/src/test/java/io/tansystack/sim/ZoneCutTest.java
+++ b/src/test/java/io/tansystack/sim/ZonePartitionTest.java
@@ -17,7 +17,7 @@
  * A zone is cut off from the state service, its machines are handed to controllers outside, and the cut ends
  * while the workers' leases, which the controllers inside have renewed, still run.
  */
-class ZoneCutTest extends Meeting {
+class ZonePartitionTest extends FaultScenario {
   private static final int JOBS = 24;
   private static final int CANCELLED = 6;
   private static final int SHORT_JOBS = 6;
@@ -99,7 +99,7 @@
     for (int i = 0; i < JOBS; i++) {
       if (draw.nextInt(3) == 0) {
         String id = id(i);
-        loop.after(Duration.ofMillis(draw.nextInt(20_000)), () -> users().cancel(id, Users.ANY));
+        loop.after(Duration.ofMillis(draw.nextInt(20_000)), () -> users().cancel(id, SimUsers.ANY));
       }
     }
     if (draw.nextInt(4) == 0) {
--- a/src/test/java/io/tansystack/wire/JobSpecTest.java
+++ b/src/test/java/io/tansystack/wire/JobSpecTest.java
@@ -28,7 +28,7 @@
   void readsTheProtocolsExampleAndIgnoresUnknownFields() throws Exception {
     JobSpec spec = JobSpec.read(good());
     assertEquals(16, spec.tasks());
-    assertEquals(Shape.GANG, spec.shape());
+    assertEquals(JobKind.GANG, spec.shape());
     assertEquals(Priority.HIGH, spec.priority());
     assertEquals(spec, JobSpec.read(spec.write()));
   }
@@ -47,7 +47,8 @@
   void refusesWrongFields(String field, String json) throws Exception {
     ObjectNode map = good();
     map.set(field, new ObjectMapper().readTree(json));
-    BadInput e = assertThrows(BadInput.class, () -> JobSpec.read(map));
+    InvalidMessageException e =
+        assertThrows(InvalidMessageException.class, () -> JobSpec.read(map));
     assertTrue(e.getMessage().startsWith(field), e.getMessage());
   }
 
@@ -69,7 +70,7 @@
   @Test
   void bodiesThatAreNoCborMapAreBadInput() {
     for (byte[] body : new byte[][] {{}, {(byte) 0xff}, "{\"a\":1}".getBytes(), {0x01}, {(byte) 0x80}}) {
-      assertThrows(BadInput.class, () -> Cbor.decodeMap(body));
+      assertThrows(InvalidMessageException.class, () -> Cbor.decodeMap(body));
     }
   }
 
@@ -82,6 +83,6 @@
   @ParameterizedTest
   @ValueSource(strings = {"wk-1", "/3", "wk-1/", "wk-1/x", "wk-1/-1", "wk-1/12345678"})
   void wrongTaskNames(String text) {
-    assertThrows(BadInput.class, () -> TaskId.parse(text));
+    assertThrows(InvalidMessageException.class, () -> TaskId.parse(text));
   }
 }
--- a/src/test/java/io/tansystack/wire/ReportTest.java
+++ b/src/test/java/io/tansystack/wire/ReportTest.java
@@ -64,8 +64,8 @@
     }
     byte[] one = Cbor.encode(before);
     byte[] two = Cbor.encode(after);
-    ReportHead head = ReportHead.read(two);
-    assertEquals(same, head != null && head.sameRest(two, ReportHead.read(one), one));
+    ReportHeader head = ReportHeader.read(two);
+    assertEquals(same, head != null && head.sameRest(two, ReportHeader.read(one), one));
     if (same) {
       assertEquals(after.get("Tick").longValue(), head.seq());
       assertEquals("n-1", head.machine());
@@ -102,11 +102,11 @@
       map.setAll((ObjectNode) new ObjectMapper().readTree(changes));
     }
     byte[] body = Cbor.encode(map);
-    Report stream = ReportStream.read(body);
+    Report stream = StreamingReportParser.read(body);
     assertEquals(ordinary, stream != null, name);
     if (ordinary) {
       assertEquals(Report.read(Cbor.decodeMap(body)), stream, name);
     }
-    assertNull(ReportStream.read(Arrays.copyOf(body, body.length - 3)), "cut off");
+    assertNull(StreamingReportParser.read(Arrays.copyOf(body, body.length - 3)), "cut off");
   }
 }
--- a/src/test/java/io/tansystack/wire/MalformedTest.java
+++ b/src/test/java/io/tansystack/wire/ThrottledLoggerTest.java
@@ -7,12 +7,13 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-class MalformedTest {
+class ThrottledLoggerTest {
   private long now = Long.MAX_VALUE - 1000; // The clock it uses may start anywhere, and run over.
 
   @Test
   void aFloodIsToldOnceInAWhileAndCounted() {
-    Malformed malformed = new Malformed(LoggerFactory.getLogger(MalformedTest.class), () -> now);
+    ThrottledLogger malformed =
+        new ThrottledLogger(LoggerFactory.getLogger(ThrottledLoggerTest.class), () -> now);
     assertEquals("report: Shift: missing", malformed.line("report", "Shift: missing"));
     for (int i = 0; i < 1000; i++) {
       now += Duration.ofMillis(4).toNanos();
@@ -21,7 +22,7 @@
     now += Duration.ofMillis(1001).toNanos();
     assertEquals(
         "list: not a map (and 1000 more that could not be read)", malformed.line("list", "not a map"));
-    now += Malformed.EVERY.toNanos();
+    now += ThrottledLogger.EVERY.toNanos();
     assertEquals("list: not a map", malformed.line("list", "not a map"));
   }
 }
--- a/src/test/java/io/tansystack/workers/ProofsTest.java
+++ b/src/test/java/io/tansystack/workers/TerminationProofsTest.java
@@ -6,10 +6,10 @@
 import io.tansystack.records.JobRecord.Assignment;
 import io.tansystack.records.JobRecord;
 import io.tansystack.records.TaskSet;
+import io.tansystack.wire.JobKind;
 import io.tansystack.wire.JobSpec;
 import io.tansystack.wire.Priority;
 import io.tansystack.wire.Report;
-import io.tansystack.wire.Shape;
 import io.tansystack.wire.TaskId;
 import io.tansystack.wire.TaskReport.Cause;
 import io.tansystack.wire.TaskReport.State;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** What proves that a placement is over, and what comes near it and proves nothing. */
-class ProofsTest {
+class TerminationProofsTest {
   private static final long TOKEN = 50;
   private static final MachineRecord MACHINE =
       new MachineRecord("n-1", "c-0", "127.0.0.1:1", "g8", "a", false, false, TOKEN, false);
@@ -34,16 +34,17 @@
   private static final JobRecord RECORD =
       JobRecord.created(
               new JobSpec(
-                  "wk-1", "c", "t", Shape.ARRAY, Priority.LOW, 1, 1, 0, 1, "i", 1, null, null,
+                  "wk-1", "c", "t", JobKind.ARRAY, Priority.LOW, 1, 1, 0, 1, "i", 1, null, null,
                   false, false, true, 10, 0, 0, null),
               0)
           .placed(List.of(new Assignment("n-1", 2, TaskSet.range(0, 1))));
 
-  private static View view(long session, long token, List<View.Void> voids, TaskReport... tasks) {
+  private static MachineView view(
+      long session, long token, List<MachineView.AbsentAttempt> voids, TaskReport... tasks) {
     Report report =
         new Report(
             "n-1", "127.0.0.1:1", "g8", "a", false, session, 9, token, null, List.of(tasks));
-    return new View(report, token, voids, Map.of(), 0, 0, 0, false);
+    return new MachineView(report, token, voids, Map.of(), 0, 0, 0, false);
   }
 
   private static TaskReport task(int index, long attempt, State state, Cause cause) {
@@ -51,7 +52,7 @@
   }
 
   static Stream<Arguments> cases() {
-    List<View.Void> exact = List.of(new View.Void("wk-1", 0, 1));
+    List<MachineView.AbsentAttempt> exact = List.of(new MachineView.AbsentAttempt("wk-1", 0, 1));
     return Stream.of(
         Arguments.of("ended", MACHINE, view(2, TOKEN, List.of(), task(0, 1, State.EXITED, Cause.DONE)), 1, 0),
         Arguments.of("refused", MACHINE, view(2, TOKEN, List.of(), task(0, 1, State.EXITED, Cause.NO_ROOM)), 1, 0),
@@ -67,13 +68,21 @@
         Arguments.of("another task ended", MACHINE, view(2, TOKEN, List.of(), task(1, 1, State.EXITED, Cause.DONE)), 0, 0),
         Arguments.of("still saving", MACHINE, view(2, TOKEN, List.of(), task(0, 1, State.SAVING, null)), 0, 0),
         Arguments.of("word of a former owner", MACHINE, view(2, 40, exact), 0, 0),
-        Arguments.of("word on another attempt", MACHINE, view(2, TOKEN, List.of(new View.Void("wk-1", 0, 2))), 0, 0));
+        Arguments.of(
+            "word on another attempt",
+            MACHINE,
+            view(2, TOKEN, List.of(new MachineView.AbsentAttempt("wk-1", 0, 2))),
+            0,
+            0));
   }
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("cases")
-  void proofsAndNearMisses(String name, MachineRecord machine, View view, int over, int conditions) {
-    Proofs proofs = Proofs.collect("wk-1", RECORD, m -> view, m -> machine, MachineRecord::version, 10);
+  void proofsAndNearMisses(
+      String name, MachineRecord machine, MachineView view, int over, int conditions) {
+    TerminationProofs proofs =
+        TerminationProofs.collect(
+            "wk-1", RECORD, m -> view, m -> machine, MachineRecord::version, 10);
     assertEquals(over, proofs.over().size());
     assertEquals(conditions, proofs.conditions().size());
     assertEquals(over, proofs.grounds().stream().mapToInt(ground -> ground.tasks().size()).sum());
@@ -91,11 +100,17 @@
     record = record.placed(round).cancelled(1);
     int rounds = 0;
     while (record.spec() != null && rounds++ < 10) {
-      Proofs proofs =
-          Proofs.collect(
+      TerminationProofs proofs =
+          TerminationProofs.collect(
               "wk-1",
               record,
-              m -> view(2, TOKEN, List.of(new View.Void("wk-1", Integer.parseInt(m.substring(2)), 1))),
+              m ->
+                  view(
+                      2,
+                      TOKEN,
+                      List.of(
+                          new MachineView.AbsentAttempt(
+                              "wk-1", Integer.parseInt(m.substring(2)), 1))),
               m -> new MachineRecord(m, "c-0", "127.0.0.1:1", "g8", "a", false, false, TOKEN, false),
               MachineRecord::version,
               2);
@@ -105,16 +120,17 @@
     assertEquals(3, rounds);
   }
 
-  private static void conditions(Proofs proofs) {
+  private static void conditions(TerminationProofs proofs) {
     proofs.conditions().forEach(c -> assertEquals(TOKEN, c.version()));
   }
 
   @ParameterizedTest
   @MethodSource("cases")
   void aViewTravelsUnchanged(
-      String name, MachineRecord machine, View view, int over, int conditions) throws Exception {
+      String name, MachineRecord machine, MachineView view, int over, int conditions)
+      throws Exception {
     if (view != null) {
-      View back = View.read(view.write());
+      MachineView back = MachineView.read(view.write());
       assertEquals(view.report(), back.report());
       assertEquals(view.voids(), back.voids());
       assertEquals(view.token(), back.token());
@@ -132,15 +148,15 @@
               ? task(i, 1, State.RUNNING, null)
               : task(i, i % 2, State.EXITED, i % 3 == 1 ? Cause.DONE : Cause.ERROR));
     }
-    View view = view(2, TOKEN, List.of(), tasks.toArray(new TaskReport[0]));
-    View back = View.read(view.write());
+    MachineView view = view(2, TOKEN, List.of(), tasks.toArray(new TaskReport[0]));
+    MachineView back = MachineView.read(view.write());
     assertEquals(Set.copyOf(tasks), Set.copyOf(back.report().tasks()));
     assertEquals(30, back.report().tasks().size());
     assertEquals(view.report().without(), back.report().without());
-    View nothing = view(2, TOKEN, List.of());
+    MachineView nothing = view(2, TOKEN, List.of());
     assertEquals(Set.of("wk-1"), view.provesMoreThan(nothing));
     assertEquals(Set.of(), view(2, TOKEN, List.of(), task(0, 1, State.RUNNING, null)).provesMoreThan(nothing));
-    View spoken = view(2, TOKEN, List.of(new View.Void("wk-1", 0, 1)));
+    MachineView spoken = view(2, TOKEN, List.of(new MachineView.AbsentAttempt("wk-1", 0, 1)));
     assertEquals(Set.of("wk-1"), spoken.provesMoreThan(nothing));
   }
 }
