--- a/src/main/java/io/tansystack/cli/Controller.java
+++ b/src/main/java/io/tansystack/cli/Controller.java
@@ -116,8 +116,8 @@
             world,
             this::synced);
     Duration life =
-        ControllerLease.lifeFor(settings.workers().cancel(), settings.workers().lease());
-    Duration recordLife = ControllerLease.recordLifeFor(life, settings.workers().lease());
+        ControllerLease.leaseDurationFor(settings.workers().cancel(), settings.workers().lease());
+    Duration recordLife = ControllerLease.recordTtlFor(life, settings.workers().lease());
     this.lease =
         new ControllerLease(
             store,
@@ -177,12 +177,12 @@
     this.jobs =
         new JobScheduler(
             loop, store, world, lease, slots, settings, views::get, types::get, this::booting,
-            pass -> latencies.measure("pass", pass), clock, recovery.coverage(),
+            pass -> latencies.measure("pass", pass), clock, recovery.fleetCoverage(),
             peer -> peers.heard(peer) && !peers.unfitForWorkers(peer));
     this.fleet =
         new Autoscaler(
             loop, caller, store, world, lease, stall, slots, types, settings, operator, desk,
-            views::get, jobs, recovery.coverage());
+            views::get, jobs, recovery.fleetCoverage());
     this.users =
         new UserApi(
             loop, store, world, settings, boot, clock, types::all, this::storeAnswers,
@@ -215,26 +215,26 @@
 
   private void tick() {
     loop.after(Duration.ofMillis(500), this::tick);
-    stall.turn();
-    if (heardUntil.compareTo(stall.listeningSince()) < 0) {
+    stall.check();
+    if (heardUntil.compareTo(stall.runningSince()) < 0) {
       peers.listenAnew();
       desk.listenAnew();
     }
     heardUntil = loop.now();
     ticks++;
     logValidity();
-    store.writeRate(writeShare(slots.plans() ? slots.plannerCount() : settings.size()));
+    store.writeRate(writeShare(slots.isPlanner() ? slots.plannerCount() : settings.size()));
     if (ticks % 2 == 0) {
       desk.tick();
     }
     if (world.loaded()) {
-      if (world.revision() >= lease.registeredAt() && !world.alive(settings.label(), boot)) {
+      if (world.revision() >= lease.registrationRevision() && !world.alive(settings.label(), boot)) {
         lease.recordLost();
       }
       views.keySet().removeIf(name -> world.machine(name) == null && desk.silentFor(name) == null);
       jobs.wake();
       if (lease.valid() && world.alive(settings.label(), boot)) {
-        start.turn();
+        start.tick();
       }
     }
   }
@@ -243,7 +243,7 @@
   private void logValidity() {
     if (lease.valid() != loggedValid) {
       loggedValid = !loggedValid;
-      log.info("{} {}", loggedValid ? "may act" : "may not act any more", lease.grounds());
+      log.info("{} {}", loggedValid ? "may act" : "may not act any more", lease.describe());
     }
   }
 
@@ -266,9 +266,9 @@
         jobs.lastPlan().unmet().size(),
         desk.owned().size(),
         lease.valid(),
-        slots.plans(),
-        stall.stalls(),
-        lease.grounds(),
+        slots.isPlanner(),
+        stall.stallCount(),
+        lease.describe(),
         latencies.summary());
   }
 
@@ -276,7 +276,7 @@
     latencies.measure(
         "change",
         () -> {
-          slots.turn();
+          slots.tick();
           jobs.touched(touched);
           desk.worldChanged(touched);
         });
@@ -296,7 +296,7 @@
   }
 
   private Set<String> informed() {
-    return slots.informed();
+    return slots.viewSubscribers();
   }
 
   private void heardOfFleet(ObjectNode news) {
--- a/src/main/java/io/tansystack/cluster/ClusterState.java
+++ b/src/main/java/io/tansystack/cluster/ClusterState.java
@@ -23,36 +23,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The copy of all records in the state service, as of one revision. Every controller has the whole of
- * it: whoever owns a machine reads its launches here, whoever plans sees every placement of all.
+ * A controller's local cache of all records in the state service, as of one revision. All of them
+ * are cached: owners of machines look up the tasks to start, and planners need all placements.
  */
 public final class ClusterState implements Watcher.Listener {
   private static final Logger log = LoggerFactory.getLogger(ClusterState.class);
 
-  /** Everything of this service stands under one prefix; the state service may have other users. */
+  /** Prefix of all keys of this service; the state service may have other users. */
   public static final String PREFIX = "ts/";
 
-  private static final String ENDED = "ts-ended/";
+  /** Finished jobs have another prefix, or each startup would have to read every job ever run. */
+  private static final String ARCHIVE_PREFIX = "ts-ended/";
 
-  /** Slots are claimed one by one; twelve divide evenly among two, three, four or six controllers. */
+  /** Number of hash slots, claimed one by one; 12 divide evenly among 2, 3, 4 or 6 controllers. */
   public static final int SLOTS = 12;
 
   /** A live controller's record. */
-  public record ControllerRecord(String boot, String zone, long version) {}
+  public record ControllerRecord(String incarnation, String zone, long version) {}
 
-  /** Who schedules a slot's jobs, or holds the fleet duty. */
-  public record Holder(String label, String boot, long version) {}
+  /** The controller that schedules a hash slot (a fixed partition of job IDs) or is autoscaler. */
+  public record Holder(String label, String incarnation, long version) {}
 
-  /** What was asked of the cloud lately; read and written by who deals with it. */
+  /** The recent requests to the cloud; read and written by the autoscaler only. */
   public record RentalJournal(ObjectNode value, long version) {}
 
-  /** A job's record with the version of its own key: 0 while it only stands among others' intake. */
+  /** A job's record and the version of its individual key: 0 if only a submission batch has it. */
   public record Job(JobRecord record, long version, int slot) {
     public String id() {
       return record.spec().id();
     }
 
-    /** Hold while nobody has written a record of the job since this one. */
+    /** Conditions that hold as long as the job's record has not been written since this version. */
     public List<Condition> unchanged() {
       return ClusterState.unchanged(id(), version);
     }
@@ -61,28 +62,27 @@
   private final Map<String, ControllerRecord> controllers = new TreeMap<>();
   private final Holder[] slots = new Holder[SLOTS];
 
-  /** Sorted, so that all controllers go through them in the same order; looked up in the index. */
+  /** Sorted, so that all controllers iterate in the same order; lookups use {@link #jobIndex}. */
   private final Map<String, Job> jobs = new TreeMap<>();
-
   private final Map<String, Job> jobIndex = new HashMap<>();
   private final MachineRegistry machines = new MachineRegistry();
   private final Map<String, Long> teams = new HashMap<>();
-  private Holder fleet;
+  private Holder autoscaler;
   private RentalJournal rentals;
-  private ObjectNode types;
-  private final FinishedJobs outcomes = new FinishedJobs();
+  private ObjectNode machineTypes;
+  private final FinishedJobs finishedJobs = new FinishedJobs();
   private final Map<String, Long> versions = new HashMap<>();
   private final PlacementIndex placements = new PlacementIndex(jobIndex::get);
-  private final SubmissionBatches intakes = new SubmissionBatches(jobIndex::get);
-  private Set<String> touchedJobs = new HashSet<>();
-  private Set<String> touchedMachines = new HashSet<>();
-  private Set<String> touchedPlacedOn = new HashSet<>();
-  private boolean touchedControllers;
+  private final SubmissionBatches submissions = new SubmissionBatches(jobIndex::get);
+  private Set<String> changedJobs = new HashSet<>();
+  private Set<String> changedMachines = new HashSet<>();
+  private Set<String> changedPlacements = new HashSet<>();
+  private boolean controllersChanged;
   private long revision = -1;
-  private final Consumer<ClusterStateDelta> changed;
+  private final Consumer<ClusterStateDelta> listener;
 
-  public ClusterState(Consumer<ClusterStateDelta> changed) {
-    this.changed = changed;
+  public ClusterState(Consumer<ClusterStateDelta> listener) {
+    this.listener = listener;
   }
 
   public static int slotOf(String job) {
@@ -94,39 +94,36 @@
     return PREFIX + "jobs/" + slotOf(job) + "/" + job;
   }
 
-  /**
-   * Where a job that is over is kept in the end: under a prefix of its own, which nobody reads but to
-   * answer for that job. What has to be read at a start would grow with all that was ever done.
-   */
-  public static String endedKey(String job) {
-    return ENDED + job;
+  /** The key under which a finished job is archived; it is read only to look up that job. */
+  public static String archiveKey(String job) {
+    return ARCHIVE_PREFIX + job;
   }
 
   /**
-   * Hold while the job's own record has this version; for 0, while it never had one: it may have run and
-   * be kept among those that are over by the time that a delayed transaction comes.
+   * Conditions that hold while the job's individual record has this version or, for 0, while it has
+   * never existed: before a delayed transaction arrives, the job may have run and been archived.
    */
   public static List<Condition> unchanged(String job, long version) {
-    Condition own = new Condition(jobKey(job), version);
-    return version > 0 ? List.of(own) : List.of(own, new Condition(endedKey(job), 0));
+    Condition condition = new Condition(jobKey(job), version);
+    return version > 0 ? List.of(condition) : List.of(condition, new Condition(archiveKey(job), 0));
   }
 
-  public static String intakeKey(String name) {
+  public static String submissionBatchKey(String name) {
     return PREFIX + "intake/" + name;
   }
 
-  /** The record that accepts several jobs at once. */
-  public static ObjectNode intake(Collection<JobRecord> records) {
+  /** The value of a record that accepts several jobs at once. */
+  public static ObjectNode submissionBatch(Collection<JobRecord> records) {
     return SubmissionBatches.write(records);
   }
 
-  public static String lotKey(String name) {
+  public static String claimBatchKey(String name) {
     return PREFIX + "lots/" + name;
   }
 
-  /** The record that claims several machines at once. */
-  public static ObjectNode lot(Collection<MachineRecord> records) {
-    return MachineRegistry.lot(records);
+  /** The value of a record that claims several machines at once. */
+  public static ObjectNode claimBatch(Collection<MachineRecord> records) {
+    return MachineRegistry.claimBatch(records);
   }
 
   public static String machineKey(String machine) {
@@ -137,8 +134,8 @@
     return PREFIX + "controllers/" + label;
   }
 
-  /** Who keeps the machines that a controller claimed, while it is away: see {@link FailoverRecord}. */
-  public static String heirsKey(String claimant) {
+  /** The key of the {@link FailoverRecord} for the machines that a controller claimed. */
+  public static String failoverKey(String claimant) {
     return PREFIX + "heirs/" + claimant;
   }
 
@@ -150,12 +147,13 @@
     return PREFIX + "teams/" + team.replace(' ', '_');
   }
 
+  /** The key of the holder of the autoscaler role. */
   public static final String FLEET_KEY = PREFIX + "fleet";
   public static final String RENTALS_KEY = PREFIX + "rentals";
   public static final String TYPES_KEY = PREFIX + "types";
 
-  public static ObjectNode holder(String label, String boot) {
-    return Cbor.map().put("label", label).put("boot", boot);
+  public static ObjectNode holder(String label, String incarnation) {
+    return Cbor.map().put("label", label).put("boot", incarnation);
   }
 
   @Override
@@ -170,7 +168,7 @@
     pages.forEach(this::apply);
     since.forEach(this::apply);
     revision = Math.max(revision, atRevision);
-    tell();
+    notifyListener();
   }
 
   @Override
@@ -180,17 +178,17 @@
       return;
     }
     changes.forEach(this::apply);
-    tell();
+    notifyListener();
   }
 
-  private void tell() {
-    ClusterStateDelta touched =
-        new ClusterStateDelta(touchedJobs, touchedMachines, touchedPlacedOn, touchedControllers);
-    touchedJobs = new HashSet<>();
-    touchedMachines = new HashSet<>();
-    touchedPlacedOn = new HashSet<>();
-    touchedControllers = false;
-    changed.accept(touched);
+  private void notifyListener() {
+    ClusterStateDelta delta =
+        new ClusterStateDelta(changedJobs, changedMachines, changedPlacements, controllersChanged);
+    changedJobs = new HashSet<>();
+    changedMachines = new HashSet<>();
+    changedPlacements = new HashSet<>();
+    controllersChanged = false;
+    listener.accept(delta);
   }
 
   private void apply(Change change) {
@@ -206,7 +204,7 @@
     try {
       applyTyped(key.substring(PREFIX.length()), change.value(), change.version());
     } catch (InvalidMessageException | NumberFormatException e) {
-      log.error("record {} is unreadable and left alone: {}", key, e.getMessage());
+      log.error("ignoring unreadable record {}: {}", key, e.getMessage());
     }
   }
 
@@ -224,7 +222,7 @@
                 ? null
                 : new ControllerRecord(
                     FieldReader.text(value, "boot"), FieldReader.text(value, "zone"), version));
-        touchedControllers = true;
+        controllersChanged = true;
       }
       case "slots" -> {
         int slot = Integer.parseInt(name);
@@ -232,30 +230,33 @@
           slots[slot] = readHolder(value, version);
         }
       }
-      case "fleet" -> fleet = readHolder(value, version);
+      case "fleet" -> autoscaler = readHolder(value, version);
       case "rentals" -> rentals = value == null ? null : new RentalJournal(value, version);
-      case "types" -> types = value;
+      case "types" -> machineTypes = value;
       case "teams" -> put(teams, key.substring(slash + 1), value == null ? null : version);
-      case "heirs" -> machines.putHeirs(name, value, version, touchedMachines);
-      case "lots" -> machines.putLot(name, value, version, touchedMachines);
-      case "machines" -> machines.putOwn(name, value, version, touchedMachines);
-      case "intake" -> intakes.put(name, value, version, id -> outcomes.phase(id) != null, this::keep);
+      case "heirs" -> machines.putFailover(name, value, version, changedMachines);
+      case "lots" -> machines.putClaimBatch(name, value, version, changedMachines);
+      case "machines" -> machines.putIndividual(name, value, version, changedMachines);
+      case "intake" ->
+          submissions.put(
+              name, value, version, id -> finishedJobs.phase(id) != null, this::replaceJob);
       case "jobs" -> {
         String id = name.substring(name.indexOf('/') + 1);
         if (value == null) {
-          outcomes.putAway(id);
-          keep(id, null);
+          finishedJobs.recordArchived(id);
+          replaceJob(id, null);
           return;
         }
-        Job before = jobIndex.get(id);
-        // What an own record says counts, whatever stood for it until then.
-        boolean same = before != null && before.version() > 0;
+        Job previous = jobIndex.get(id);
+        // A spec read from an individual record is final; one from a batch may still be replaced.
+        boolean reuseSpec = previous != null && previous.version() > 0;
         JobRecord record =
-            intakes.own(id, JobRecord.read(value, same ? before.record().spec() : null), version);
+            submissions.effectiveRecord(
+                id, JobRecord.read(value, reuseSpec ? previous.record().spec() : null), version);
         if (!record.active()) {
-          outcomes.over(id, record, version);
+          finishedJobs.recordFinished(id, record, version);
         }
-        keep(id, record.spec() == null ? null : new Job(record, version, slotOf(id)));
+        replaceJob(id, record.spec() == null ? null : new Job(record, version, slotOf(id)));
       }
       default -> log.debug("unknown record {}", key);
     }
@@ -268,16 +269,16 @@
   }
 
   private static <V> void put(Map<String, V> map, String key, V value) {
-    map.compute(key, (k, old) -> value); // With null it is removed.
+    map.compute(key, (k, old) -> value); // A null value removes the entry.
   }
 
-  /** Replaces what is known of a job (null: nothing), and what is recorded on its machines. */
-  private void keep(String id, Job job) {
+  /** Replaces a job's record (null removes it) and its entries in the placement index. */
+  private void replaceJob(String id, Job job) {
     Job old = jobIndex.get(id);
     put(jobs, id, job);
     put(jobIndex, id, job);
-    touchedJobs.add(id);
-    placements.replace(id, old, job, touchedPlacedOn);
+    changedJobs.add(id);
+    placements.replace(id, old, job, changedPlacements);
   }
 
   public long revision() {
@@ -296,25 +297,25 @@
     return slots[slot];
   }
 
-  public Holder fleet() {
-    return fleet;
+  public Holder autoscaler() {
+    return autoscaler;
   }
 
-  /** Null if nothing was ever rented. */
+  /** Null if no machine was ever rented. */
   public RentalJournal rentals() {
     return rentals;
   }
 
-  public ObjectNode types() {
-    return types;
+  public ObjectNode machineTypes() {
+    return machineTypes;
   }
 
-  /** Whether a machine of the name was seen to go: no report of its first session is news of it. */
-  public boolean wasMachine(String name) {
+  /** Whether a machine of this name is known to be gone: reports of its first session are stale. */
+  public boolean isGoneMachine(String name) {
     return machines.isGone(name);
   }
 
-  /** Jobs with work or placements left; those that are over and empty are not among them. */
+  /** Jobs with work or placements left, by ID; finished jobs without placements are left out. */
   public Map<String, Job> jobs() {
     return Collections.unmodifiableMap(jobs);
   }
@@ -323,14 +324,14 @@
     return jobIndex.get(id);
   }
 
-  /** The final state, if the job is known to have one; it never changes again. */
+  /** The job's final phase, which never changes; null if the job is not known to have finished. */
   public JobRecord.Phase finalPhase(String id) {
-    return outcomes.phase(id);
+    return finishedJobs.phase(id);
   }
 
-  /** Jobs whose own records hold an outcome only and that no intake names, with their versions. */
-  Map<String, FinishedJobs.UnarchivedOutcome> outcomes() {
-    return outcomes.standing(intakes::names);
+  /** Unarchived outcomes of jobs that no submission batch names any more, by job ID. */
+  Map<String, FinishedJobs.UnarchivedOutcome> unarchivedOutcomes() {
+    return finishedJobs.unarchived(submissions::references);
   }
 
   public Map<String, MachineRecord> machines() {
@@ -341,30 +342,29 @@
     return machines.get(name);
   }
 
-  /** The version of a machine's own key, be it a record or the mark of one that is gone; else 0. */
+  /** The version of the machine's individual key (a record or a tombstone); 0 if there is none. */
   public long machineVersion(String name) {
-    return machines.ownVersion(name);
+    return machines.individualVersion(name);
   }
 
-  /** The version of the record that names a controller's heirs; 0 if there is none. */
-  public long heirsVersion(String claimant) {
-    return machines.heirsVersion(claimant);
+  /** The version of the controller's failover record; 0 if there is none. */
+  public long failoverVersion(String claimant) {
+    return machines.failoverVersion(claimant);
   }
 
-  /** What says that a machine is gone, whichever way it was claimed. */
-  public Write gone(String name) {
-    return new Write(machineKey(name), machines.inLot(name) ? MachineRegistry.mark() : null, 0);
+  /** The write for a machine that is gone: a tombstone if a claim batch names it, or a delete. */
+  public Write deletion(String name) {
+    return new Write(
+        machineKey(name), machines.inClaimBatch(name) ? MachineRegistry.tombstone() : null, 0);
   }
 
-  /** Records that nobody needs any more: what accepted or claimed several, and marks of what is gone. */
-  public List<Condition> needless() {
-    List<Condition> needless = new ArrayList<>();
-    intakes.over().forEach((name, version) -> needless.add(new Condition(intakeKey(name), version)));
-    machines.lotsOver().forEach((name, version) -> needless.add(new Condition(lotKey(name), version)));
-    machines
-        .marksOver()
-        .forEach((name, version) -> needless.add(new Condition(machineKey(name), version)));
-    return needless;
+  /** Keys and versions of batch records and tombstones that nothing refers to any more. */
+  public List<Condition> obsoleteRecords() {
+    List<Condition> result = new ArrayList<>();
+    submissions.obsolete().forEach((n, v) -> result.add(new Condition(submissionBatchKey(n), v)));
+    machines.obsoleteBatches().forEach((n, v) -> result.add(new Condition(claimBatchKey(n), v)));
+    machines.obsoleteTombstones().forEach((n, v) -> result.add(new Condition(machineKey(n), v)));
+    return result;
   }
 
   public long teamVersion(String team) {
@@ -372,28 +372,28 @@
   }
 
   public List<PlacementIndex.IndexedPlacement> placedOn(String machine) {
-    return placements.on(machine);
+    return placements.placementsOn(machine);
   }
 
   /**
-   * The token under which the machine's owner gives commands: the revision from which it holds the
-   * machine, or that of its own record if that is later. So every claim has a higher token than all
-   * before, and so has every start of the owner's process, without a write for each of its machines:
-   * claiming hundreds of machines anew after a restart would use up the write limit for many seconds.
+   * The fencing token under which the owner sends commands: the revision from which it owns the
+   * machine, or that of its own record if later. So every claim and every restart of the owner has
+   * a higher token than all before. A restart needs no write for each machine: reclaiming hundreds
+   * of machines would use up the write limit for many seconds.
    */
   public long token(MachineRecord machine) {
     ControllerRecord owner = controllers.get(machine.owner());
-    return owner == null ? machine.since() : Math.max(machine.since(), owner.version());
+    return owner == null ? machine.ownedSince() : Math.max(machine.ownedSince(), owner.version());
   }
 
-  /** Whether the controller has a record, whichever start of its process wrote it. */
+  /** Whether the controller has a record, under any incarnation of its process. */
   public boolean alive(String label) {
     return controllers.containsKey(label);
   }
 
-  /** Whether the controller's record is there under this very start of its process. */
-  public boolean alive(String label, String boot) {
+  /** Whether the controller has a record under this incarnation of its process. */
+  public boolean alive(String label, String incarnation) {
     ControllerRecord record = controllers.get(label);
-    return record != null && record.boot().equals(boot);
+    return record != null && record.incarnation().equals(incarnation);
   }
 }
--- a/src/main/java/io/tansystack/cluster/ClusterStateDelta.java
+++ b/src/main/java/io/tansystack/cluster/ClusterStateDelta.java
@@ -3,11 +3,15 @@
 import java.util.Set;
 
 /**
- * What a batch of changed records concerns, so that nothing else need be looked at again.
+ * What a batch of changed records affects; everything else need not be evaluated again.
  *
- * @param machines machines whose own record changed
- * @param placedOn machines on which something else is recorded than before
- * @param controllers whether controllers came, went or started anew
+ * @param jobs IDs of the jobs whose record changed
+ * @param machines names of the machines whose own record changed
+ * @param placementsChangedOn names of the machines whose recorded placements changed
+ * @param controllersChanged whether a controller registered, restarted or lost its record
  */
 public record ClusterStateDelta(
-    Set<String> jobs, Set<String> machines, Set<String> placedOn, boolean controllers) {}
+    Set<String> jobs,
+    Set<String> machines,
+    Set<String> placementsChangedOn,
+    boolean controllersChanged) {}
--- a/src/main/java/io/tansystack/cluster/ControllerLease.java
+++ b/src/main/java/io/tansystack/cluster/ControllerLease.java
@@ -10,105 +10,117 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's lease and record, and whether it may act. It may while its last renewal that
- * succeeded was sent, and its copy of the records is complete up to, less than {@code life} ago. So a
- * controller that is cut off from the state service stops answering workers before a cancelled task
- * could outlive its time.
+ * This controller's lease and record, and whether the controller may act. It may act while both the
+ * time at which its last successful renewal was sent and the time as of which its cluster state is
+ * up to date are less than the lease duration ago. So a controller that is cut off from the state
+ * service stops answering workers early enough for cancelled tasks to end in time.
  */
 public final class ControllerLease {
   private static final Logger log = LoggerFactory.getLogger(ControllerLease.class);
 
-  /** Steady clocks drift by 0.05% against each other; twice that, and a stall between check and use. */
-  private static final double DRIFT = 0.001;
+  /** Twice the relative drift of steady clocks, which is at most 0.05%. */
+  private static final double CLOCK_DRIFT = 0.001;
 
-  private static final Duration MARGIN = Duration.ofMillis(500);
+  /** Allows for a process pause between a check of the lease and the action that relies on it. */
+  private static final Duration STALL_MARGIN = Duration.ofMillis(500);
 
   private final StoreClient store;
   private final EventLoop loop;
   private final String label;
-  private final String boot;
+  private final String incarnation;
   private final String zone;
-  private final Duration life;
+  private final Duration leaseDuration;
 
-  /** So much of it is used; the rest is kept for drift, and for a stall between a check and its use. */
-  private final Duration usable;
+  /** The lease duration less the allowances for clock drift and for a pause after a check. */
+  private final Duration safeDuration;
 
-  private final Duration recordLife;
+  private final Duration recordTtl;
   private final Watcher watcher;
-  private final StallDetector stall;
-  private long lease;
+  private final StallDetector stallDetector;
+  private long leaseId;
   private boolean registered;
-  private long registeredAt;
+  private long registrationRevision;
   private Duration renewedAt;
 
   public ControllerLease(
       StoreClient store,
       EventLoop loop,
       String label,
-      String boot,
+      String incarnation,
       String zone,
-      Duration life,
-      Duration recordLife,
+      Duration leaseDuration,
+      Duration recordTtl,
       Watcher watcher,
-      StallDetector stall) {
+      StallDetector stallDetector) {
     this.store = store;
     this.loop = loop;
     this.label = label;
-    this.boot = boot;
+    this.incarnation = incarnation;
     this.zone = zone;
-    this.life = life;
-    this.usable = Duration.ofNanos((long) (life.toNanos() * (1 - DRIFT))).minus(MARGIN);
-    this.recordLife = recordLife;
+    this.leaseDuration = leaseDuration;
+    this.safeDuration =
+        Duration.ofNanos((long) (leaseDuration.toNanos() * (1 - CLOCK_DRIFT))).minus(STALL_MARGIN);
+    this.recordTtl = recordTtl;
     this.watcher = watcher;
-    this.stall = stall;
+    this.stallDetector = stallDetector;
   }
 
-  /** The longest time for which a controller cut off at this moment goes on acting. */
-  public static Duration lifeFor(Duration cancel, Duration workerLease) {
-    Duration room = cancel.minus(workerLease).multipliedBy(7).dividedBy(10);
+  /**
+   * The longest time for which a controller that is cut off from the state service goes on acting:
+   * 70% of what the time limit for cancellations leaves after a worker's lease, from 0.5 to 30 s.
+   *
+   * @param cancel the time within which cancelled tasks must have ended
+   */
+  public static Duration leaseDurationFor(Duration cancel, Duration workerLease) {
+    Duration available = cancel.minus(workerLease).multipliedBy(7).dividedBy(10);
     Duration longest = Duration.ofSeconds(30);
     Duration shortest = Duration.ofMillis(500);
-    return room.compareTo(longest) > 0 ? longest : room.compareTo(shortest) < 0 ? shortest : room;
+    return available.compareTo(longest) > 0
+        ? longest
+        : available.compareTo(shortest) < 0 ? shortest : available;
   }
 
   /**
-   * How long the own record outlives the last renewal. Shorter than the time for which this controller
-   * may act: workers whose controller has gone silent look for another, and that one takes them over
-   * once the record has ended, long before their own leases do. No rule rests on it: claims are safe
-   * at any time.
+   * How long this controller's record outlives the last renewal. This is at most the time for which
+   * the controller may act: workers whose controller is unresponsive contact another one, which
+   * takes them over once the record has expired, long before their own leases do. Correctness
+   * doesn't depend on this duration, since claims are safe at any time.
    */
-  public static Duration recordLifeFor(Duration life, Duration workerLease) {
+  public static Duration recordTtlFor(Duration leaseDuration, Duration workerLease) {
     Duration wanted = workerLease.dividedBy(4);
     Duration shortest = Duration.ofSeconds(3);
     Duration longest = Duration.ofSeconds(8);
-    wanted = wanted.compareTo(shortest) < 0 ? shortest : wanted.compareTo(longest) > 0 ? longest : wanted;
-    return wanted.compareTo(life) > 0 ? life : wanted;
+    wanted =
+        wanted.compareTo(shortest) < 0
+            ? shortest
+            : wanted.compareTo(longest) > 0 ? longest : wanted;
+    return wanted.compareTo(leaseDuration) > 0 ? leaseDuration : wanted;
   }
 
   public void start() {
-    turn();
+    tick();
   }
 
-  private void turn() {
-    Duration next = recordLife.dividedBy(5);
-    if (lease == 0) {
+  private void tick() {
+    Duration next = recordTtl.dividedBy(5);
+    if (leaseId == 0) {
       Duration sentAt = loop.now();
-      // A lease must have at least 100 ms; the state service's own range is kept to by the settings.
+      // Leases last at least 100 ms; the settings keep to the range that the state service allows.
       store.grant(
-          recordLife,
+          recordTtl,
           granted -> {
             if (granted != null) {
-              lease = granted;
+              leaseId = granted;
               renewedAt = sentAt;
               register();
             }
-            loop.after(granted == null ? Duration.ofMillis(300) : next, this::turn);
+            loop.after(granted == null ? Duration.ofMillis(300) : next, this::tick);
           });
       return;
     }
     Duration sentAt = loop.now();
     store.renew(
-        lease,
+        leaseId,
         status -> {
           if (status == 200) {
             renewedAt = sentAt;
@@ -116,48 +128,52 @@
               register();
             }
           } else if (status == 404) {
-            log.warn("own lease {} has ended, asking for a new one", lease);
-            lease = 0;
+            log.warn("own lease {} has ended, requesting a new one", leaseId);
+            leaseId = 0;
             registered = false;
           }
-          loop.after(status == 200 ? next : Duration.ofMillis(300), this::turn);
+          loop.after(status == 200 ? next : Duration.ofMillis(300), this::tick);
         });
   }
 
   private void register() {
     store.commitUrgent(
         List.of(),
-        OwnershipConditions.registration(label, boot, zone, lease),
+        OwnershipConditions.registration(label, incarnation, zone, leaseId),
         Duration.ofSeconds(2),
         (result, revision) -> {
           registered = result == CommitResult.DONE;
           if (registered) {
-            registeredAt = revision;
-            log.info("registered as {} boot {} under lease {}", label, boot, lease);
+            registrationRevision = revision;
+            log.info("registered as {} boot {} under lease {}", label, incarnation, leaseId);
           } else if (result == CommitResult.NO_LEASE) {
-            lease = 0;
+            leaseId = 0;
           }
         });
   }
 
-  /** The revision of the own record's last writing. */
-  public long registeredAt() {
-    return registeredAt;
+  /** The revision of the last write of this controller's record. */
+  public long registrationRevision() {
+    return registrationRevision;
   }
 
-  /** The record is gone or another's though the lease is thought to live: write it again. */
+  /**
+   * To be called when this controller's record is missing or another incarnation's although the
+   * lease seems to be alive. The record is written again after the next renewal.
+   */
   public void recordLost() {
-    if (registered && lease != 0) {
+    if (registered && leaseId != 0) {
       registered = false;
     }
   }
 
-  public long lease() {
-    return lease;
+  /** The ID of the current lease in the state service; 0 while there is none. */
+  public long leaseId() {
+    return leaseId;
   }
 
-  public Duration life() {
-    return life;
+  public Duration leaseDuration() {
+    return leaseDuration;
   }
 
   public boolean registered() {
@@ -165,20 +181,24 @@
   }
 
   /**
-   * Whether the copy of the records is good enough to judge others by: after a stall only once it has
-   * been read anew, since others may have taken over what it still shows as this controller's.
+   * Whether the lease is valid and the cluster state is fresh enough to base decisions about other
+   * controllers on. After a stall it is fresh only once it is up to date as of a later moment,
+   * since others may have taken over what it still shows as owned by this controller.
    */
-  public boolean current() {
-    stall.turn();
-    return valid() && watcher.syncedAt().compareTo(stall.listeningSince()) >= 0;
+  public boolean validAndFresh() {
+    stallDetector.check();
+    return valid() && watcher.syncedAt().compareTo(stallDetector.runningSince()) >= 0;
   }
 
-  /** On what the right to act rests now: the registration, the last renewal and the copy's age; for logs. */
-  public String grounds() {
+  /**
+   * Describes for logs why this controller may act or not: its registration, the age of the last
+   * renewal, and the age and revision of the cluster state.
+   */
+  public String describe() {
     return "registered="
-        + (registered ? registeredAt : "no")
+        + (registered ? registrationRevision : "no")
         + " lease="
-        + lease
+        + leaseId
         + " renewed="
         + age(renewedAt)
         + " synced="
@@ -191,16 +211,19 @@
     return since == null ? "never" : loop.now().minus(since).toMillis() + "ms";
   }
 
-  /** Checked at the moment of every act. */
+  /** Whether this controller may act now; to be checked immediately before each action. */
   public boolean valid() {
     if (!registered || renewedAt == null || watcher.syncedAt() == null) {
       return false;
     }
-    return within(renewedAt) && within(watcher.syncedAt());
+    return isRecent(renewedAt) && isRecent(watcher.syncedAt());
   }
 
-  /** Whether so little time has passed since the moment that a worker may still be answered in spite of it. */
-  public boolean within(Duration since) {
-    return loop.now().minus(since).compareTo(usable) < 0;
+  /**
+   * Whether less than the safe part of the lease duration has passed since the given time, so that
+   * workers may still be answered.
+   */
+  public boolean isRecent(Duration since) {
+    return loop.now().minus(since).compareTo(safeDuration) < 0;
   }
 }
--- a/src/main/java/io/tansystack/cluster/FinishedJobs.java
+++ b/src/main/java/io/tansystack/cluster/FinishedJobs.java
@@ -7,43 +7,48 @@
 import java.util.function.Predicate;
 
 /**
- * How jobs have ended. What is left of such a job stands under its own key for a while, and is then put
- * away under {@link ClusterState#endedKey}, which is no part of the copy. It is remembered for some time after,
- * since users ask about what has just ended; a final state never changes.
+ * The outcomes of finished jobs. An outcome is stored under the job's own key for a while, and is
+ * then archived under {@link ClusterState#archiveKey}, which is not part of the cluster state. The
+ * latest outcomes are remembered after that too, since users ask about jobs that have just
+ * finished; a final state never changes.
  */
 final class FinishedJobs {
   private static final int MAX_REMEMBERED = 50_000;
 
-  /** An outcome that stands under the job's own key, of this version. */
+  /** An outcome that is still stored under the job's own key, which has this version. */
   record UnarchivedOutcome(JobRecord.Phase phase, long version) {}
 
   private final LinkedHashMap<String, JobRecord.Phase> remembered = new LinkedHashMap<>();
-  private final Map<String, UnarchivedOutcome> standing = new LinkedHashMap<>();
+  private final Map<String, UnarchivedOutcome> unarchived = new LinkedHashMap<>();
 
-  /** The job is over; with placements left, its record is still to change. */
-  void over(String id, JobRecord record, long version) {
+  /** Records that the job has finished; if it has placements left, its record will still change. */
+  void recordFinished(String id, JobRecord record, long version) {
     remembered.put(id, record.phase());
     if (remembered.size() > MAX_REMEMBERED) {
       remembered.remove(remembered.keySet().iterator().next());
     }
     if (record.spec() == null) {
-      standing.put(id, new UnarchivedOutcome(record.phase(), version));
+      unarchived.put(id, new UnarchivedOutcome(record.phase(), version));
     }
   }
 
-  /** There is nothing under the job's own key any more. */
-  void putAway(String id) {
-    standing.remove(id);
+  /** Records that the job's own key has been deleted. */
+  void recordArchived(String id) {
+    unarchived.remove(id);
   }
 
-  /** The final state, if the job is known to have one. */
+  /** The job's final phase; null if the job is not known to have finished. */
   JobRecord.Phase phase(String id) {
-    UnarchivedOutcome s = standing.get(id);
-    return s == null ? remembered.get(id) : s.phase;
+    UnarchivedOutcome outcome = unarchived.get(id);
+    return outcome == null ? remembered.get(id) : outcome.phase;
   }
 
-  /** Those that stand under their own keys, and that nothing keeps there. */
-  Map<String, UnarchivedOutcome> standing(Predicate<String> kept) {
-    return Maps.filterKeys(standing, id -> !kept.test(id));
+  /**
+   * The unarchived outcomes that may be archived.
+   *
+   * @param retained whether the job's own key has to stay
+   */
+  Map<String, UnarchivedOutcome> unarchived(Predicate<String> retained) {
+    return Maps.filterKeys(unarchived, id -> !retained.test(id));
   }
 }
--- a/src/main/java/io/tansystack/cluster/MachineRecord.java
+++ b/src/main/java/io/tansystack/cluster/MachineRecord.java
@@ -7,12 +7,15 @@
 import io.tansystack.wire.StoreProtocol.Condition;
 
 /**
- * A machine's record, as it counts.
+ * A machine's effective record.
  *
- * @param owner who gives it commands: who claimed it, or an heir of that one (see {@link FailoverRecord})
- * @param inLot whether it stands in a lot only, of which {@code version} is the version
- * @param claimant who claimed it under {@code version}
- * @param since the revision from which the owner holds it: that of the claim, or of the heirs' naming
+ * @param owner the controller that sends it commands: the claimant, or a successor of the claimant
+ *     (see {@link FailoverRecord})
+ * @param version the version of the machine's individual key, or of the claim batch
+ * @param inClaimBatch whether the machine is recorded in a claim batch only
+ * @param claimant the controller that claimed the machine under {@code version}
+ * @param ownedSince the revision from which the owner owns the machine: that of the claim or of the
+ *     failover record
  */
 public record MachineRecord(
     String name,
@@ -23,11 +26,11 @@
     boolean spot,
     boolean drain,
     long version,
-    boolean inLot,
+    boolean inClaimBatch,
     String claimant,
-    long since) {
+    long ownedSince) {
 
-  /** One that is held by who claimed it. */
+  /** A record of a machine that is owned by its claimant. */
   public MachineRecord(
       String name,
       String owner,
@@ -37,11 +40,11 @@
       boolean spot,
       boolean drain,
       long version,
-      boolean inLot) {
-    this(name, owner, address, type, zone, spot, drain, version, inLot, owner, version);
+      boolean inClaimBatch) {
+    this(name, owner, address, type, zone, spot, drain, version, inClaimBatch, owner, version);
   }
 
-  static MachineRecord read(String name, ObjectNode value, long version, boolean inLot)
+  static MachineRecord read(String name, ObjectNode value, long version, boolean inClaimBatch)
       throws InvalidMessageException {
     return new MachineRecord(
         name,
@@ -52,12 +55,12 @@
         FieldReader.flag(value, "spot"),
         FieldReader.flagOr(value, "drain", false),
         version,
-        inLot);
+        inClaimBatch);
   }
 
-  /** Holds as long as nothing has happened to the machine since this record. */
+  /** A condition that holds as long as the machine's record has not changed since this one. */
   public Condition condition() {
-    return new Condition(ClusterState.machineKey(name), inLot ? 0 : version);
+    return new Condition(ClusterState.machineKey(name), inClaimBatch ? 0 : version);
   }
 
   public ObjectNode write() {
@@ -67,18 +70,19 @@
     return map;
   }
 
-  /** As it counts while an heir of its claimant keeps it. */
-  MachineRecord keptBy(String heir, long from) {
+  /** The effective record while a successor of the claimant owns the machine. */
+  MachineRecord failedOverTo(String successor, long revision) {
     return new MachineRecord(
-        name, heir, address, type, zone, spot, drain, version, inLot, claimant, from);
+        name, successor, address, type, zone, spot, drain, version, inClaimBatch, claimant,
+        revision);
   }
 
-  /** As it is to be written by a new owner; the version comes with the write. */
+  /** The record to be written by a new owner; its version results from the write. */
   public MachineRecord ownedBy(String label) {
     return new MachineRecord(name, label, address, type, zone, spot, drain, 0, false);
   }
 
-  /** As it is to be written when the machine is to be emptied. */
+  /** The record to be written when the machine is to be drained. */
   public MachineRecord draining() {
     return new MachineRecord(name, owner, address, type, zone, spot, true, 0, false);
   }
--- a/src/main/java/io/tansystack/cluster/MachineRegistry.java
+++ b/src/main/java/io/tansystack/cluster/MachineRegistry.java
@@ -18,44 +18,47 @@
 import java.util.TreeMap;
 
 /**
- * The machines' records as they count. Machines that came up at once are claimed by one record, a lot.
- * Such a machine counts as its lot says until it has a record of its own; of two lots the earlier
- * counts. All that happens to it later (another owner, emptied, gone) is written under its own key, so
- * that a condition on that key alone ({@link MachineRecord#condition}) tells whether anything has. While
- * a lot still names it, a machine that is gone leaves a mark there instead of an absent key.
+ * The effective records of machines. Machines that came up together are claimed by one record, a
+ * claim batch. The batch applies to a machine until the machine has an individual record; of two
+ * batches the earlier one applies. All later changes (another owner, drained, gone) are written
+ * under the machine's individual key, so that a condition on that key alone
+ * ({@link MachineRecord#condition}) shows whether anything has changed. As long as a claim batch
+ * names it, a machine that is gone has a tombstone under that key instead of an absent key.
  *
- * <p>A lot may go once all its machines have own keys; a mark may go once no lot names the machine.
+ * <p>A claim batch is obsolete once all its machines have individual keys; a tombstone is obsolete
+ * once no claim batch names the machine.
  */
 final class MachineRegistry {
-  private record Lot(long version, Map<String, MachineRecord> named) {}
+  private record ClaimBatch(long version, Map<String, MachineRecord> machines) {}
 
-  private static final int MAX_GONE = 5000;
+  private static final int MAX_GONE_NAMES = 5000;
 
-  /** What stands under a machine's own key; {@code record} null: it is gone. */
-  private record Own(long version, MachineRecord record) {}
+  /** The value of a machine's individual key; {@code record} is null for a tombstone. */
+  private record IndividualRecord(long version, MachineRecord record) {}
 
-  private final Map<String, Lot> lots = new TreeMap<>();
-  private final ListMultimap<String, Lot> lotsOf = ArrayListMultimap.create();
-  private final Map<String, Own> own = new HashMap<>();
-  private final Map<String, FailoverRecord> heirs = new HashMap<>();
+  private final Map<String, ClaimBatch> claimBatches = new TreeMap<>();
+  private final ListMultimap<String, ClaimBatch> claimBatchesByMachine = ArrayListMultimap.create();
+  private final Map<String, IndividualRecord> individualRecords = new HashMap<>();
+  private final Map<String, FailoverRecord> failovers = new HashMap<>();
 
-  /** Sorted, so that all controllers go through them in the same order; looked up in the index. */
+  /** Sorted, so that all controllers iterate in the same order; lookups use the index. */
   private final Map<String, MachineRecord> machines = new TreeMap<>();
 
-  private final Map<String, MachineRecord> index = new HashMap<>();
+  private final Map<String, MachineRecord> machineIndex = new HashMap<>();
 
-  /** Names of machines that are gone; the cloud gives none twice. */
-  private final Set<String> gone = new LinkedHashSet<>();
+  /** Names of machines that are gone; the cloud never reuses a name. */
+  private final Set<String> goneNames = new LinkedHashSet<>();
 
-  static ObjectNode lot(Collection<MachineRecord> records) {
+  /** The value of a claim batch. */
+  static ObjectNode claimBatch(Collection<MachineRecord> records) {
     ObjectNode map = Cbor.map();
     ArrayNode list = map.putArray("machines");
     records.forEach(record -> list.add(record.write().put("name", record.name())));
     return map;
   }
 
-  /** What is written under the key of a machine that is gone, while a lot names it. */
-  static ObjectNode mark() {
+  /** The value under the individual key of a machine that is gone while a claim batch names it. */
+  static ObjectNode tombstone() {
     return Cbor.map().put("gone", true);
   }
 
@@ -64,137 +67,154 @@
   }
 
   MachineRecord get(String name) {
-    return index.get(name);
+    return machineIndex.get(name);
   }
 
-  /** Whether a machine of the name was seen to go, as far as is remembered. */
+  /** Whether a machine of this name is known to be gone; only the latest names are remembered. */
   boolean isGone(String name) {
-    return gone.contains(name) && get(name) == null;
+    return goneNames.contains(name) && get(name) == null;
   }
 
-  /** The version of the machine's own key; 0 if there is none. */
-  long ownVersion(String name) {
-    Own o = own.get(name);
-    return o == null ? 0 : o.version;
+  /** The version of the machine's individual key; 0 if there is none. */
+  long individualVersion(String name) {
+    IndividualRecord individual = individualRecords.get(name);
+    return individual == null ? 0 : individual.version;
   }
 
-  boolean inLot(String name) {
-    return lotsOf.containsKey(name);
+  boolean inClaimBatch(String name) {
+    return claimBatchesByMachine.containsKey(name);
   }
 
-  /** Takes in what stands under a machine's own key; {@code value} null: nothing any more. */
-  void putOwn(String name, ObjectNode value, long version, Set<String> touched)
+  /**
+   * Applies a change of a machine's individual key.
+   *
+   * @param value null if the key was deleted
+   * @param changed the machine's name is added to it
+   */
+  void putIndividual(String name, ObjectNode value, long version, Set<String> changed)
       throws InvalidMessageException {
     if (value == null) {
-      own.remove(name);
+      individualRecords.remove(name);
     } else if (FieldReader.flagOr(value, "gone", false)) {
-      own.put(name, new Own(version, null));
+      individualRecords.put(name, new IndividualRecord(version, null));
     } else {
-      own.put(name, new Own(version, MachineRecord.read(name, value, version, false)));
+      individualRecords.put(
+          name, new IndividualRecord(version, MachineRecord.read(name, value, version, false)));
     }
-    settle(name, touched);
+    recompute(name, changed);
   }
 
-  /** Takes in a lot; {@code value} null: its removal. */
-  void putLot(String name, ObjectNode value, long version, Set<String> touched)
+  /**
+   * Applies a change of a claim batch.
+   *
+   * @param value null if the batch was deleted
+   * @param changed the names of the affected machines are added to it
+   */
+  void putClaimBatch(String name, ObjectNode value, long version, Set<String> changed)
       throws InvalidMessageException {
-    Map<String, MachineRecord> named = new HashMap<>();
+    Map<String, MachineRecord> records = new HashMap<>();
     if (value != null) {
       for (JsonNode node : FieldReader.list(value, "machines")) {
         ObjectNode map = FieldReader.map(node, "machines");
         String machine = FieldReader.text(map, "name");
-        named.put(machine, MachineRecord.read(machine, map, version, true));
+        records.put(machine, MachineRecord.read(machine, map, version, true));
       }
     }
-    Lot before = lots.remove(name);
-    if (before != null) {
-      for (String machine : before.named.keySet()) {
-        lotsOf.remove(machine, before);
-        settle(machine, touched);
+    ClaimBatch previous = claimBatches.remove(name);
+    if (previous != null) {
+      for (String machine : previous.machines.keySet()) {
+        claimBatchesByMachine.remove(machine, previous);
+        recompute(machine, changed);
       }
     }
     if (value != null) {
-      Lot lot = new Lot(version, named);
-      lots.put(name, lot);
-      for (String machine : named.keySet()) {
-        lotsOf.put(machine, lot);
-        settle(machine, touched);
+      ClaimBatch batch = new ClaimBatch(version, records);
+      claimBatches.put(name, batch);
+      for (String machine : records.keySet()) {
+        claimBatchesByMachine.put(machine, batch);
+        recompute(machine, changed);
       }
     }
   }
 
-  /** Takes in who keeps the machines that a controller claimed; {@code value} null: itself. */
-  void putHeirs(String claimant, ObjectNode value, long version, Set<String> touched)
+  /**
+   * Applies a change of the failover record for a controller's machines.
+   *
+   * @param value null if the record was deleted, so that the claimant owns its machines itself
+   * @param changed the names of the affected machines are added to it
+   */
+  void putFailover(String claimant, ObjectNode value, long version, Set<String> changed)
       throws InvalidMessageException {
     if (value == null) {
-      heirs.remove(claimant);
+      failovers.remove(claimant);
     } else {
-      heirs.put(claimant, FailoverRecord.read(value, version));
+      failovers.put(claimant, FailoverRecord.read(value, version));
     }
-    for (MachineRecord record : List.copyOf(index.values())) {
+    for (MachineRecord record : List.copyOf(machineIndex.values())) {
       if (record.claimant().equals(claimant)) {
-        settle(record.name(), touched);
+        recompute(record.name(), changed);
       }
     }
   }
 
-  /** The version of the record that names the heirs of a controller; 0 if there is none. */
-  long heirsVersion(String claimant) {
-    FailoverRecord named = heirs.get(claimant);
-    return named == null ? 0 : named.version();
+  /** The version of the controller's failover record; 0 if there is none. */
+  long failoverVersion(String claimant) {
+    FailoverRecord failover = failovers.get(claimant);
+    return failover == null ? 0 : failover.version();
   }
 
-  private void settle(String name, Set<String> touched) {
-    Own o = own.get(name);
-    MachineRecord counts = o == null ? firstLot(name) : o.record;
-    FailoverRecord named = counts == null ? null : heirs.get(counts.claimant());
-    if (named != null) {
-      counts = named.applied(counts);
+  /** Recomputes the effective record of a machine. */
+  private void recompute(String name, Set<String> changed) {
+    IndividualRecord individual = individualRecords.get(name);
+    MachineRecord effective = individual == null ? earliestClaim(name) : individual.record;
+    FailoverRecord failover = effective == null ? null : failovers.get(effective.claimant());
+    if (failover != null) {
+      effective = failover.applyTo(effective);
     }
-    if (counts == null) {
+    if (effective == null) {
       machines.remove(name);
-      if (index.remove(name) != null) {
-        gone.add(name);
-        if (gone.size() > MAX_GONE) {
-          gone.remove(gone.iterator().next());
+      if (machineIndex.remove(name) != null) {
+        goneNames.add(name);
+        if (goneNames.size() > MAX_GONE_NAMES) {
+          goneNames.remove(goneNames.iterator().next());
         }
       }
     } else {
-      machines.put(name, counts);
-      index.put(name, counts);
+      machines.put(name, effective);
+      machineIndex.put(name, effective);
     }
-    touched.add(name);
+    changed.add(name);
   }
 
-  private MachineRecord firstLot(String name) {
-    Lot first = null;
-    for (Lot lot : lotsOf.get(name)) {
-      first = first == null || lot.version < first.version ? lot : first;
+  private MachineRecord earliestClaim(String name) {
+    ClaimBatch earliest = null;
+    for (ClaimBatch batch : claimBatchesByMachine.get(name)) {
+      earliest = earliest == null || batch.version < earliest.version ? batch : earliest;
     }
-    return first == null ? null : first.named.get(name);
+    return earliest == null ? null : earliest.machines.get(name);
   }
 
-  /** Lots all of whose machines have own keys, with their versions. */
-  Map<String, Long> lotsOver() {
-    Map<String, Long> over = new TreeMap<>();
-    lots.forEach(
-        (name, lot) -> {
-          if (own.keySet().containsAll(lot.named.keySet())) {
-            over.put(name, lot.version);
+  /** The versions of claim batches all of whose machines have individual keys, by batch name. */
+  Map<String, Long> obsoleteBatches() {
+    Map<String, Long> obsolete = new TreeMap<>();
+    claimBatches.forEach(
+        (name, batch) -> {
+          if (individualRecords.keySet().containsAll(batch.machines.keySet())) {
+            obsolete.put(name, batch.version);
           }
         });
-    return over;
+    return obsolete;
   }
 
-  /** Machines that are gone and that no lot names any more, with the versions of their marks. */
-  Map<String, Long> marksOver() {
-    Map<String, Long> over = new TreeMap<>();
-    own.forEach(
-        (name, o) -> {
-          if (o.record == null && !lotsOf.containsKey(name)) {
-            over.put(name, o.version);
+  /** The versions of tombstones of machines that no claim batch names any more, by machine name. */
+  Map<String, Long> obsoleteTombstones() {
+    Map<String, Long> obsolete = new TreeMap<>();
+    individualRecords.forEach(
+        (name, individual) -> {
+          if (individual.record == null && !claimBatchesByMachine.containsKey(name)) {
+            obsolete.put(name, individual.version);
           }
         });
-    return over;
+    return obsolete;
   }
 }
--- a/src/main/java/io/tansystack/cluster/OwnershipConditions.java
+++ b/src/main/java/io/tansystack/cluster/OwnershipConditions.java
@@ -6,51 +6,60 @@
 import java.util.List;
 
 /**
- * What transactions that concern the owner of machines rest on. Three things make a controller the
- * owner of a machine, and the latest of them counts: its claim of the machine, its being named an heir
- * of the claimant, and its own registration, which ends the naming of heirs in its place.
+ * Conditions and writes of transactions that depend on the owner of machines. Three things make a
+ * controller the owner of a machine, and the latest of them applies: its claim of the machine, a
+ * failover record that names it as a successor of the claimant, and its own registration, which
+ * removes the failover record for its own machines.
  */
 public final class OwnershipConditions {
   private OwnershipConditions() {}
 
   /**
-   * The writes by which a controller registers: whatever was handed over while it was away is its own
-   * again. The heirs' record is removed whatever the copy shows: it would count again when this
-   * registration ends.
+   * The writes by which a controller registers and becomes the owner again of all machines that
+   * were taken over while it was down. The failover record is removed even if the cluster state
+   * shows none: it would otherwise apply again once this registration ends.
    */
-  static List<Write> registration(String label, String boot, String zone, long lease) {
+  static List<Write> registration(String label, String incarnation, String zone, long lease) {
     return List.of(
         new Write(
             ClusterState.controllerKey(label),
-            Cbor.map().put("boot", boot).put("zone", zone),
+            Cbor.map().put("boot", incarnation).put("zone", zone),
             lease),
-        new Write(ClusterState.heirsKey(label), null, 0));
+        new Write(ClusterState.failoverKey(label), null, 0));
   }
 
   /**
-   * Hold while the controller, which has a record, is the owner by what its copy shows and has been all
-   * the time. The second voids what an earlier start of its process may still have under way: the
-   * machine may have come back since, under the same record. The third holds while nobody else has
-   * become its owner by being named an heir, or by coming back.
+   * Conditions that hold while the controller, which must have a record, is the machine's owner as
+   * the cluster state shows and has been the owner without interruption. The second one invalidates
+   * transactions of an earlier incarnation of the controller that may still be under way: the
+   * machine may have come back since, under the same record. The third one holds while no other
+   * controller has become the owner, as a successor by a failover record or by registering again.
    */
-  public static List<Condition> held(ClusterState copy, MachineRecord machine, String label) {
+  public static List<Condition> stillOwnedBy(
+      ClusterState clusterState, MachineRecord machine, String label) {
     return List.of(
         machine.condition(),
-        new Condition(ClusterState.controllerKey(label), copy.controllers().get(label).version()),
         new Condition(
-            ClusterState.heirsKey(machine.claimant()), copy.heirsVersion(machine.claimant())));
+            ClusterState.controllerKey(label), clusterState.controllers().get(label).version()),
+        new Condition(
+            ClusterState.failoverKey(machine.claimant()),
+            clusterState.failoverVersion(machine.claimant())));
   }
 
   /**
-   * Hold while nobody has come to own what the claimant of the machine had claimed: it has no record,
-   * and its heirs are those that the copy shows. Applied late, the heirs would be named as they were:
-   * not after the controller that names them has ended.
+   * Conditions that hold while no controller has become the owner of the claimant's machines: the
+   * claimant has no record, and its failover record is the one in the cluster state. The third
+   * condition holds while the controller that writes the failover record has not ended or
+   * restarted: a delayed write would name successors as they were before.
    */
-  public static List<Condition> left(ClusterState copy, MachineRecord machine, String label) {
+  public static List<Condition> failoverAllowed(
+      ClusterState clusterState, MachineRecord machine, String label) {
     return List.of(
         new Condition(ClusterState.controllerKey(machine.claimant()), 0),
         new Condition(
-            ClusterState.heirsKey(machine.claimant()), copy.heirsVersion(machine.claimant())),
-        new Condition(ClusterState.controllerKey(label), copy.controllers().get(label).version()));
+            ClusterState.failoverKey(machine.claimant()),
+            clusterState.failoverVersion(machine.claimant())),
+        new Condition(
+            ClusterState.controllerKey(label), clusterState.controllers().get(label).version()));
   }
 }
--- a/src/main/java/io/tansystack/cluster/PlacementIndex.java
+++ b/src/main/java/io/tansystack/cluster/PlacementIndex.java
@@ -10,25 +10,24 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** What is recorded on each machine, kept up to date placement by placement. */
+/** The recorded placements by machine, updated placement by placement. */
 public final class PlacementIndex {
-  /** A placement together with its job, of which the newest record is looked up when it is asked for. */
+  /** A placement with its job, whose newest record is looked up on each call of {@link #job}. */
   public final class IndexedPlacement {
-    private final String id;
+    private final String jobId;
     private final Placement placement;
 
-    private IndexedPlacement(String id, Placement placement) {
-      this.id = id;
+    private IndexedPlacement(String jobId, Placement placement) {
+      this.jobId = jobId;
       this.placement = placement;
     }
 
-    /** Of the job. */
-    public String id() {
-      return id;
+    public String jobId() {
+      return jobId;
     }
 
     public Job job() {
-      return jobs.apply(id);
+      return jobs.apply(jobId);
     }
 
     public Placement placement() {
@@ -39,43 +38,47 @@
   private final Function<String, Job> jobs;
   private final Map<String, List<IndexedPlacement>> byMachine = new HashMap<>();
 
-  /** @param jobs the newest record of a job */
+  /** @param jobs returns the newest record of a job by its ID */
   PlacementIndex(Function<String, Job> jobs) {
     this.jobs = jobs;
   }
 
-  List<IndexedPlacement> on(String machine) {
+  List<IndexedPlacement> placementsOn(String machine) {
     return byMachine.getOrDefault(machine, List.of());
   }
 
   /**
-   * Replaces what is recorded of a job (null: nothing). Only machines on which its part changed count as
-   * touched: most writes concern few of a job's many machines.
+   * Replaces the placements of a job. Only machines on which the job's placements or its phase
+   * changed are added to {@code changedMachines}: most writes concern few of a job's many machines.
+   *
+   * @param previous null if the job had no record
+   * @param job null if the job has no record any more
    */
-  void replace(String id, Job old, Job job, Set<String> touched) {
-    boolean whole = old == null || job == null || old.record().phase() != job.record().phase();
-    Set<Placement> gone = new HashSet<>();
-    if (old != null) {
-      gone.addAll(old.record().placements());
+  void replace(String id, Job previous, Job job, Set<String> changedMachines) {
+    boolean allChanged =
+        previous == null || job == null || previous.record().phase() != job.record().phase();
+    Set<Placement> removed = new HashSet<>();
+    if (previous != null) {
+      removed.addAll(previous.record().placements());
     }
     if (job != null) {
       for (Placement placement : job.record().placements()) {
-        boolean known = gone.remove(placement);
-        if (!known) {
+        boolean unchanged = removed.remove(placement);
+        if (!unchanged) {
           byMachine
               .computeIfAbsent(placement.machine(), k -> new ArrayList<>())
               .add(new IndexedPlacement(id, placement));
         }
-        if (!known || whole) {
-          touched.add(placement.machine());
+        if (!unchanged || allChanged) {
+          changedMachines.add(placement.machine());
         }
       }
     }
-    for (Placement placement : gone) {
-      touched.add(placement.machine());
-      List<IndexedPlacement> on = byMachine.get(placement.machine());
-      on.removeIf(placed -> placed.id.equals(id) && placed.placement.equals(placement));
-      if (on.isEmpty()) {
+    for (Placement placement : removed) {
+      changedMachines.add(placement.machine());
+      List<IndexedPlacement> remaining = byMachine.get(placement.machine());
+      remaining.removeIf(placed -> placed.jobId.equals(id) && placed.placement.equals(placement));
+      if (remaining.isEmpty()) {
         byMachine.remove(placement.machine());
       }
     }
--- a/src/main/java/io/tansystack/cluster/PlannerElection.java
+++ b/src/main/java/io/tansystack/cluster/PlannerElection.java
@@ -7,36 +7,50 @@
 import java.util.Map;
 
 /**
- * Which controllers hold slots and plan. Each that plans reads every view and plans every job, so the
- * cost of all controllers together grows with the number of planners, and on a large cluster one is
- * enough. All controllers find the same ones from the same records.
+ * Selects the planners, the controllers that hold slots and schedule. Each planner reads all
+ * machine views and plans all jobs, so the total cost of the controllers grows with the number of
+ * planners, and on a large cluster one planner is enough. All controllers select the same planners
+ * from the same records.
  */
 final class PlannerElection {
-  /** Of so many controllers all plan, while the cluster is small: there is nothing to be saved. */
-  private static final int FEW = 3;
+  /** Up to 3 controllers all plan while the fleet is small: a single planner would save nothing. */
+  private static final int SMALL_CONTROLLER_COUNT = 3;
 
-  /** With so many machines a pass and the views behind it cost more than a second planner brings. */
-  private static final int MANY = 150;
+  /**
+   * From 150 machines on, a second scheduling pass and its machine views cost more than it gains.
+   */
+  private static final int LARGE_FLEET = 150;
 
-  /** Work that one planner has gathered stays there until there are so few, or it would go to and fro. */
-  private static final int MANY_NO_MORE = 75;
+  /**
+   * The lower threshold while one controller holds all slots. The gap to {@link #LARGE_FLEET} keeps
+   * slots from being transferred back and forth.
+   */
+  private static final int LARGE_FLEET_IF_CONCENTRATED = 75;
 
   private PlannerElection() {}
 
   /**
-   * All of a few, on a small cluster; else the one that registered first. One that comes back registers
-   * last, so its return moves no work. How many there are to be counts, not how many live: while all of
-   * them come back, one after the other, the work would be spread and gathered again.
+   * The labels of the planners: all controllers if they are few and the fleet is small, else the
+   * one that registered first. A controller that comes back registers last, so its return moves no
+   * work. The configured number of controllers decides, not the number of live ones: otherwise the
+   * slots would be spread and concentrated again while all controllers come back one after the
+   * other.
    *
-   * @param machines how many are recorded
-   * @param gathered whether one controller holds all slots: told by the records like all else, since two
-   *     that disagree would pass slots to and fro
+   * @param controllerCount the number of controllers in the deployment
+   * @param machineCount the number of recorded machines
+   * @param concentrated whether one controller holds all slots. Like all arguments this is derived
+   *     from the records, since controllers that disagree would transfer slots back and forth
    */
   static List<String> choose(
-      Map<String, ControllerRecord> live, int size, int machines, boolean gathered) {
-    boolean large = machines >= (gathered ? MANY_NO_MORE : MANY);
-    List<String> byAge = new ArrayList<>(live.keySet());
-    byAge.sort(Comparator.comparingLong(label -> live.get(label).version()));
-    return size <= FEW && !large ? byAge : byAge.subList(0, Math.min(1, byAge.size()));
+      Map<String, ControllerRecord> liveControllers,
+      int controllerCount,
+      int machineCount,
+      boolean concentrated) {
+    boolean large = machineCount >= (concentrated ? LARGE_FLEET_IF_CONCENTRATED : LARGE_FLEET);
+    List<String> byAge = new ArrayList<>(liveControllers.keySet());
+    byAge.sort(Comparator.comparingLong(label -> liveControllers.get(label).version()));
+    return controllerCount <= SMALL_CONTROLLER_COUNT && !large
+        ? byAge
+        : byAge.subList(0, Math.min(1, byAge.size()));
   }
 }
--- a/src/main/java/io/tansystack/cluster/RecordGarbageCollector.java
+++ b/src/main/java/io/tansystack/cluster/RecordGarbageCollector.java
@@ -13,76 +13,83 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Removes records that nothing needs any more: those that accepted several jobs or claimed several
- * machines, and the marks of machines that are gone; and puts away what is left of jobs that are over,
- * so that a start does not have to read it. Nothing waits for it, so it takes few writes and
- * only such as are left over; the holder of the first slot does it, and two at a time would do no harm.
+ * Deletes obsolete submission batches, claim batches and tombstones, and archives the outcomes of
+ * finished jobs, so that a startup does not have to read them. Nothing waits for this, so it uses
+ * few writes, and only from the budget that other writes leave. The holder of the first slot does
+ * it; two controllers doing it at the same time would do no harm.
  */
 public final class RecordGarbageCollector {
   private static final Logger log = LoggerFactory.getLogger(RecordGarbageCollector.class);
-  private static final Duration EVERY = Duration.ofSeconds(1);
-  private static final int MOST = 3;
+  private static final Duration INTERVAL = Duration.ofSeconds(1);
+  private static final int MAX_REMOVALS = 3;
 
-  /** Outcomes are put away so many at once: fewer make more transactions, more a gap in placements. */
-  private static final int AT_ONCE = 4;
+  /**
+   * The number of outcomes archived in one transaction: fewer would need more transactions, more
+   * would interrupt the writing of placements.
+   */
+  private static final int ARCHIVE_BATCH_SIZE = 4;
 
-  /** Up to so many wait until nothing else is to be written: reading them costs a start little. */
-  private static final int MANY = 1000;
+  /**
+   * Up to this many outcomes are archived only while nothing else is to be written: reading them
+   * costs a startup little.
+   */
+  private static final int MAX_UNARCHIVED = 1000;
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final ControllerLease lease;
-  private final SlotManager slots;
+  private final SlotManager slotManager;
 
   public RecordGarbageCollector(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
+      ClusterState clusterState,
       ControllerLease lease,
-      SlotManager slots) {
+      SlotManager slotManager) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
+    this.clusterState = clusterState;
     this.lease = lease;
-    this.slots = slots;
+    this.slotManager = slotManager;
   }
 
   public void start() {
     loop.after(
-        EVERY,
+        INTERVAL,
         () -> {
           start();
-          if (slots.holds(0) && lease.valid()) {
-            sweep();
+          if (slotManager.holds(0) && lease.valid()) {
+            collect();
           }
         });
   }
 
-  private void sweep() {
-    int left = MOST;
-    for (Condition needless : world.needless()) {
-      if (left-- == 0 || !store.reserve(1)) {
+  private void collect() {
+    int remaining = MAX_REMOVALS;
+    for (Condition obsolete : clusterState.obsoleteRecords()) {
+      if (remaining-- == 0 || !store.reserve(1)) {
         return;
       }
       store.commitReserved(
-          List.of(needless),
-          List.of(new Write(needless.key(), null, 0)),
-          (result, revision) -> log.debug("removal of {}: {}", needless.key(), result));
+          List.of(obsolete),
+          List.of(new Write(obsolete.key(), null, 0)),
+          (result, revision) -> log.debug("deleting {}: {}", obsolete.key(), result));
     }
-    putAway();
+    archive();
   }
 
   /**
-   * Puts outcomes away, under {@link ClusterState#endedKey}. Both writes of a job are one transaction, so it
-   * stands in one of the two places at any moment, and what still writes to it under the old condition
-   * fails ({@link ClusterState#unchanged}).
+   * Archives outcomes under {@link ClusterState#archiveKey}. Both writes of a job are in one
+   * transaction, so at any moment the job is stored under exactly one of the two keys, and writes
+   * to it under the old conditions fail ({@link ClusterState#unchanged}).
    */
-  private void putAway() {
+  private void archive() {
     List<Condition> conditions = new ArrayList<>();
     List<Write> writes = new ArrayList<>();
-    for (Map.Entry<String, FinishedJobs.UnarchivedOutcome> outcome : world.outcomes().entrySet()) {
-      if (conditions.size() == AT_ONCE) {
+    for (Map.Entry<String, FinishedJobs.UnarchivedOutcome> outcome :
+        clusterState.unarchivedOutcomes().entrySet()) {
+      if (conditions.size() == ARCHIVE_BATCH_SIZE) {
         break;
       }
       String id = outcome.getKey();
@@ -90,15 +97,17 @@
       writes.add(new Write(ClusterState.jobKey(id), null, 0));
       writes.add(
           new Write(
-              ClusterState.endedKey(id), JobRecord.outcome(outcome.getValue().phase()).write(), 0));
+              ClusterState.archiveKey(id),
+              JobRecord.outcome(outcome.getValue().phase()).write(),
+              0));
     }
-    boolean many = world.outcomes().size() > MANY;
-    if (conditions.size() == AT_ONCE
+    boolean many = clusterState.unarchivedOutcomes().size() > MAX_UNARCHIVED;
+    if (conditions.size() == ARCHIVE_BATCH_SIZE
         && (many ? store.reserveSpare(writes.size()) : store.reserveIdle(writes.size()))) {
       store.commitReserved(
           conditions,
           writes,
-          (result, revision) -> log.debug("{} outcomes put away: {}", conditions.size(), result));
+          (result, revision) -> log.debug("archiving {} outcomes: {}", conditions.size(), result));
     }
   }
 }
--- a/src/main/java/io/tansystack/cluster/SlotManager.java
+++ b/src/main/java/io/tansystack/cluster/SlotManager.java
@@ -17,273 +17,301 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Claims slots and the fleet duty, and gives slots away when others have too few. A claim is safe at
- * any time, because every write of a slot's holder carries the version of {@code slots/k} as a
- * condition; whether a holder looks dead decides only how soon others take over.
+ * Claims slots and the autoscaler role, and transfers slots to controllers that hold too few. A
+ * claim is safe at any time, because every write of a slot's holder carries the version of
+ * {@code slots/k} as a condition; whether a holder looks down only decides how soon others take
+ * over.
  */
 public final class SlotManager {
   private static final Logger log = LoggerFactory.getLogger(SlotManager.class);
-  private static final Duration TURN = Duration.ofMillis(300);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(300);
 
-  /** A controller that has just come or gone settles before slots are moved towards evenness. */
-  private static final Duration SETTLE = Duration.ofSeconds(4);
+  /** After the planners have changed, slots are rebalanced only once this time has passed. */
+  private static final Duration STABILIZATION_DELAY = Duration.ofSeconds(4);
 
-  /** What is done is shown by then, and what is not may be tried again. */
-  private static final Duration SHOWN = Duration.ofSeconds(2);
+  /** After this time the cluster state shows a committed write, or the key may be written again. */
+  private static final Duration VISIBILITY_DELAY = Duration.ofSeconds(2);
 
-  private static final Duration AGAIN = Duration.ofMillis(200);
+  /** The time after which a claim that did not succeed may be tried again. */
+  private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
-  private static final Duration CONTESTED = Duration.ofSeconds(30);
+  /** For this time after conflicting claims, refused connections do not count as failures. */
+  private static final Duration CONFLICT_BACKOFF = Duration.ofSeconds(30);
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final ControllerLease lease;
   private final String label;
-  private final String boot;
-  private final int size;
+  private final String incarnation;
+  private final int controllerCount;
   private final Predicate<String> looksDown;
-  /** Keys whose claims are under way, with the revisions of those that are done. */
+
+  /** Keys being written; with the revision once it is committed, until the cluster state has it. */
   private final Map<String, Long> inFlight = new HashMap<>();
-  private Set<String> lastLive = Set.of();
-  private boolean plans;
-  private final Set<Integer> held = new HashSet<>();
-  private final Set<Integer> given = new HashSet<>();
-  private Duration contestedUntil = Duration.ZERO;
-  private Duration liveSince = Duration.ZERO;
+  private Set<String> lastPlanners = Set.of();
+  private boolean isPlanner;
+  private final Set<Integer> heldSlots = new HashSet<>();
+  private final Set<Integer> transferredSlots = new HashSet<>();
+  private Duration conflictBackoffUntil = Duration.ZERO;
+  private Duration plannersSince = Duration.ZERO;
 
-  /** @param size how many controllers the deployment has */
+  /**
+   * @param controllerCount the number of controllers in the deployment
+   * @param looksDown whether the controller of this label seems to have failed
+   */
   public SlotManager(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
+      ClusterState clusterState,
       ControllerLease lease,
       String label,
-      String boot,
-      int size,
+      String incarnation,
+      int controllerCount,
       Predicate<String> looksDown) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
+    this.clusterState = clusterState;
     this.lease = lease;
     this.label = label;
-    this.boot = boot;
-    this.size = size;
+    this.incarnation = incarnation;
+    this.controllerCount = controllerCount;
     this.looksDown = looksDown;
   }
 
   public void start() {
-    turn();
-    loop.after(TURN, this::start);
+    tick();
+    loop.after(TICK_INTERVAL, this::start);
   }
 
   public boolean holds(int slot) {
-    return mine(world.slot(slot));
+    return heldHere(clusterState.slot(slot));
   }
 
-  public boolean holdsFleet() {
-    return mine(world.fleet());
+  public boolean holdsAutoscalerRole() {
+    return heldHere(clusterState.autoscaler());
   }
 
-  private boolean mine(Holder holder) {
-    return holder != null && holder.label().equals(label) && holder.boot().equals(boot);
+  private boolean heldHere(Holder holder) {
+    return holder != null
+        && holder.label().equals(label)
+        && holder.incarnation().equals(incarnation);
   }
 
-  /** Run at every turn and whenever the records of controllers or slots change. */
-  public void turn() {
-    if (!world.loaded() || !lease.current() || !world.alive(label, boot)) {
+  /** Runs periodically and whenever the records of controllers or slots change. */
+  public void tick() {
+    if (!clusterState.loaded()
+        || !lease.validAndFresh()
+        || !clusterState.alive(label, incarnation)) {
       return;
     }
-    inFlight.values().removeIf(revision -> revision <= world.revision());
-    noticeContest();
-    List<String> live = planners();
-    boolean chosen = live.contains(label);
-    if (plans != chosen) {
-      plans = chosen;
-      log.info("{} of {} plan, this one {}", live, world.controllers().size(), chosen ? "too" : "not");
+    inFlight.values().removeIf(revision -> revision <= clusterState.revision());
+    detectConflictingClaims();
+    List<String> planners = planners();
+    boolean chosen = planners.contains(label);
+    if (isPlanner != chosen) {
+      isPlanner = chosen;
+      log.info(
+          "{} of {} controllers plan, this one {}",
+          planners,
+          clusterState.controllers().size(),
+          chosen ? "too" : "not");
     }
     Duration now = loop.now();
-    if (!lastLive.equals(Set.copyOf(live))) {
-      lastLive = Set.copyOf(live);
-      liveSince = now;
+    if (!lastPlanners.equals(Set.copyOf(planners))) {
+      lastPlanners = Set.copyOf(planners);
+      plannersSince = now;
     }
-    int mineCount = 0;
-    int[] counts = new int[live.size()];
+    int ownCount = 0;
+    int[] counts = new int[planners.size()];
     for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
-      Holder holder = world.slot(slot);
-      if (mine(holder)) {
-        mineCount++;
+      Holder holder = clusterState.slot(slot);
+      if (heldHere(holder)) {
+        ownCount++;
       }
-      if (holder != null && world.alive(holder.label(), holder.boot())) {
-        int at = live.indexOf(holder.label());
-        if (at >= 0) {
-          counts[at]++;
+      if (holder != null && clusterState.alive(holder.label(), holder.incarnation())) {
+        int index = planners.indexOf(holder.label());
+        if (index >= 0) {
+          counts[index]++;
         }
       }
     }
-    int share = (ClusterState.SLOTS + live.size() - 1) / live.size();
-    int me = Math.max(0, live.indexOf(label));
+    int share = (ClusterState.SLOTS + planners.size() - 1) / planners.size();
+    int ownIndex = Math.max(0, planners.indexOf(label));
     for (int i = 0; i < ClusterState.SLOTS; i++) {
-      // Each starts elsewhere, so that two claimants seldom want the same slot.
-      int slot = (i + me * share) % ClusterState.SLOTS;
-      Holder holder = world.slot(slot);
-      if (mine(holder)) {
+      // Each planner starts at another slot, so that two of them seldom claim the same one.
+      int slot = (i + ownIndex * share) % ClusterState.SLOTS;
+      Holder holder = clusterState.slot(slot);
+      if (heldHere(holder)) {
         continue;
       }
-      boolean own = holder != null && holder.label().equals(label);
-      if (chosen && (own || orphaned(holder)) && (own || mineCount < share)) {
-        claim(ClusterState.slotKey(slot), holder, label, boot, 0);
-        mineCount++;
+      boolean previouslyOwn = holder != null && holder.label().equals(label);
+      if (chosen && (previouslyOwn || orphaned(holder)) && (previouslyOwn || ownCount < share)) {
+        claim(ClusterState.slotKey(slot), holder, label, incarnation, 0);
+        ownCount++;
       }
     }
-    if (chosen && !mine(world.fleet()) && orphaned(world.fleet())) {
-      claim(ClusterState.FLEET_KEY, world.fleet(), label, boot, lease.lease());
+    if (chosen && !heldHere(clusterState.autoscaler()) && orphaned(clusterState.autoscaler())) {
+      claim(ClusterState.FLEET_KEY, clusterState.autoscaler(), label, incarnation, lease.leaseId());
     }
-    if (now.minus(liveSince).compareTo(SETTLE) > 0) {
-      giveOne(live, counts, mineCount);
-      if (!chosen && mineCount == 0 && mine(world.fleet())) {
-        leaveFleet();
+    if (now.minus(plannersSince).compareTo(STABILIZATION_DELAY) > 0) {
+      transferOneSlot(planners, counts, ownCount);
+      if (!chosen && ownCount == 0 && heldHere(clusterState.autoscaler())) {
+        releaseAutoscalerRole();
       }
     }
   }
 
   /**
-   * Whoever deals with the cloud reads all views and plans, too: the one that plans anyway had better do
-   * it. The record hangs on its holder's lease, so it is removed, and claimed by the planner.
+   * Gives up the autoscaler role. The autoscaler reads all machine views and plans too, so the role
+   * had better be held by a controller that plans anyway. The record is bound to its holder's
+   * lease, so it is deleted here and then claimed by the planner.
    */
-  private void leaveFleet() {
+  private void releaseAutoscalerRole() {
     if (inFlight.containsKey(ClusterState.FLEET_KEY)) {
       return;
     }
     inFlight.put(ClusterState.FLEET_KEY, Long.MAX_VALUE);
     store.commitUrgent(
-        List.of(new Condition(ClusterState.FLEET_KEY, world.fleet().version())),
+        List.of(new Condition(ClusterState.FLEET_KEY, clusterState.autoscaler().version())),
         List.of(new Write(ClusterState.FLEET_KEY, null, 0)),
         Duration.ofSeconds(1),
         (result, revision) -> {
-          log.info("left the fleet to {} result={}", lastLive, result);
-          settled(ClusterState.FLEET_KEY, result, revision);
+          log.info("released the autoscaler role to {} result={}", lastPlanners, result);
+          commitFinished(ClusterState.FLEET_KEY, result, revision);
         });
   }
 
-  /** The key stays marked until the copy shows the outcome: a start is slow to read what it wrote. */
-  private void settled(String key, CommitResult result, long revision) {
+  /**
+   * Keeps the key in {@link #inFlight} until the cluster state shows the write: during startup the
+   * controller is slow to read its own writes.
+   */
+  private void commitFinished(String key, CommitResult result, long revision) {
     if (result == CommitResult.DONE) {
       inFlight.put(key, revision);
     }
-    loop.after(result == CommitResult.DONE ? SHOWN : AGAIN, () -> inFlight.remove(key));
+    loop.after(
+        result == CommitResult.DONE ? VISIBILITY_DELAY : RETRY_DELAY, () -> inFlight.remove(key));
   }
 
   private boolean orphaned(Holder holder) {
     return holder == null
-        || !world.alive(holder.label(), holder.boot())
-        || (!holder.label().equals(label) && down(holder.label()));
+        || !clusterState.alive(holder.label(), holder.incarnation())
+        || (!holder.label().equals(label) && isDown(holder.label()));
   }
 
-  private boolean down(String controller) {
-    return loop.now().compareTo(contestedUntil) >= 0 && looksDown.test(controller);
+  private boolean isDown(String controller) {
+    return loop.now().compareTo(conflictBackoffUntil) >= 0 && looksDown.test(controller);
   }
 
   /**
-   * Somebody has taken a slot from this controller, which lives: connections between controllers are
-   * refused though the processes are well, and each would go on taking all slots from all others. For
-   * a while only the records tell who lives.
+   * Detects that another controller has claimed a slot from this one, which is alive: connections
+   * between controllers are refused although the processes are healthy, and each controller would
+   * keep claiming all slots of all others. For a while only the records decide which controllers
+   * are alive.
    */
-  private void noticeContest() {
+  private void detectConflictingClaims() {
     for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
-      Holder holder = world.slot(slot);
-      boolean taken = held.contains(slot) && !given.contains(slot) && !mine(holder);
-      if (mine(holder)) {
-        held.add(slot);
-        given.remove(slot);
+      Holder holder = clusterState.slot(slot);
+      boolean taken =
+          heldSlots.contains(slot) && !transferredSlots.contains(slot) && !heldHere(holder);
+      if (heldHere(holder)) {
+        heldSlots.add(slot);
+        transferredSlots.remove(slot);
       } else {
-        held.remove(slot);
-        given.remove(slot);
+        heldSlots.remove(slot);
+        transferredSlots.remove(slot);
       }
-      // After its own record had ended it was right to take it; then the claim came before the new one.
-      if (taken && holder != null && holder.version() > lease.registeredAt()) {
-        if (loop.now().compareTo(contestedUntil) >= 0) {
-          log.warn("slot {} was taken by {}: refused connections prove nothing for a while", slot, holder.label());
+      // A claim before this controller's latest registration was right: its record had expired.
+      if (taken && holder != null && holder.version() > lease.registrationRevision()) {
+        if (loop.now().compareTo(conflictBackoffUntil) >= 0) {
+          log.warn(
+              "slot {} was taken by {} although this controller is alive:"
+                  + " ignoring refused connections for now",
+              slot,
+              holder.label());
         }
-        contestedUntil = loop.now().plus(CONTESTED);
+        conflictBackoffUntil = loop.now().plus(CONFLICT_BACKOFF);
       }
     }
   }
 
-  /** The controllers that are to plan, as far as is known here. */
+  /** The controllers that are to plan, as far as this controller knows. */
   private List<String> planners() {
     Map<String, ClusterState.ControllerRecord> live = new HashMap<>();
-    world
+    clusterState
         .controllers()
         .forEach(
             (controller, record) -> {
-              if (controller.equals(label) || !down(controller)) {
+              if (controller.equals(label) || !isDown(controller)) {
                 live.put(controller, record);
               }
             });
-    return PlannerElection.choose(live, size, world.machines().size(), gathered());
+    return PlannerElection.choose(
+        live, controllerCount, clusterState.machines().size(), concentrated());
   }
 
-  private boolean gathered() {
+  /** Whether one controller holds all slots. */
+  private boolean concentrated() {
     Set<String> holders = new HashSet<>();
     for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
-      holders.add(world.slot(slot) == null ? "" : world.slot(slot).label());
+      holders.add(clusterState.slot(slot) == null ? "" : clusterState.slot(slot).label());
     }
     return holders.size() == 1;
   }
 
   /**
-   * Who has to know how machines are: those that are to plan, and those that still hold a duty for
-   * which it is needed.
+   * The controllers that need the machine views: those that are to plan, and those that still hold
+   * a slot or the autoscaler role.
    */
-  public Set<String> informed() {
-    Set<String> informed = new HashSet<>(planners());
+  public Set<String> viewSubscribers() {
+    Set<String> subscribers = new HashSet<>(planners());
     for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
-      if (world.slot(slot) != null) {
-        informed.add(world.slot(slot).label());
+      if (clusterState.slot(slot) != null) {
+        subscribers.add(clusterState.slot(slot).label());
       }
     }
-    if (world.fleet() != null) {
-      informed.add(world.fleet().label());
+    if (clusterState.autoscaler() != null) {
+      subscribers.add(clusterState.autoscaler().label());
     }
-    return informed;
+    return subscribers;
   }
 
-  /** How many controllers plan, as far as is known here. */
+  /** The number of controllers that plan, as far as this controller knows; at least 1. */
   public int plannerCount() {
-    return Math.max(1, lastLive.size());
+    return Math.max(1, lastPlanners.size());
   }
 
-  /** Whether this controller has to plan. */
-  public boolean plans() {
-    return plans || holdsAny();
+  /** Whether this controller has to plan: it is a planner, or still holds a slot or a role. */
+  public boolean isPlanner() {
+    return isPlanner || holdsAny();
   }
 
   private boolean holdsAny() {
-    boolean any = holdsFleet();
+    boolean any = holdsAutoscalerRole();
     for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
       any |= holds(slot);
     }
     return any;
   }
 
-  /** Passes slots on, one at a time, to planners that have less than their part. */
-  private void giveOne(List<String> live, int[] counts, int mineCount) {
-    int floor = live.contains(label) ? ClusterState.SLOTS / live.size() : 0;
-    if (mineCount <= floor) {
+  /** Transfers one slot to a planner that holds fewer than its share, if this one holds more. */
+  private void transferOneSlot(List<String> planners, int[] counts, int ownCount) {
+    int floor = planners.contains(label) ? ClusterState.SLOTS / planners.size() : 0;
+    if (ownCount <= floor) {
       return;
     }
-    for (int i = 0; i < live.size(); i++) {
-      if (counts[i] < ClusterState.SLOTS / live.size() && !live.get(i).equals(label)) {
+    for (int i = 0; i < planners.size(); i++) {
+      if (counts[i] < ClusterState.SLOTS / planners.size() && !planners.get(i).equals(label)) {
         for (int slot = 0; slot < ClusterState.SLOTS; slot++) {
-          if (mine(world.slot(slot))) {
-            String to = live.get(i);
-            given.add(slot);
+          if (heldHere(clusterState.slot(slot))) {
+            String recipient = planners.get(i);
+            transferredSlots.add(slot);
             claim(
                 ClusterState.slotKey(slot),
-                world.slot(slot),
-                to,
-                world.controllers().get(to).boot(),
+                clusterState.slot(slot),
+                recipient,
+                clusterState.controllers().get(recipient).incarnation(),
                 0);
             return;
           }
@@ -292,24 +320,25 @@
     }
   }
 
-  private void claim(String key, Holder before, String to, String toBoot, long attach) {
+  private void claim(
+      String key, Holder previous, String newHolder, String newIncarnation, long leaseId) {
     if (inFlight.containsKey(key)) {
       return;
     }
     inFlight.put(key, Long.MAX_VALUE);
     store.commitUrgent(
-        List.of(new Condition(key, before == null ? 0 : before.version())),
-        List.of(new Write(key, ClusterState.holder(to, toBoot), attach)),
+        List.of(new Condition(key, previous == null ? 0 : previous.version())),
+        List.of(new Write(key, ClusterState.holder(newHolder, newIncarnation), leaseId)),
         Duration.ofSeconds(1),
         (result, revision) -> {
           log.info(
               "claim {} for={} former={} result={} revision={}",
               key,
-              to,
-              before == null ? "none" : before.label() + "@" + before.version(),
+              newHolder,
+              previous == null ? "none" : previous.label() + "@" + previous.version(),
               result,
               revision);
-          settled(key, result, revision);
+          commitFinished(key, result, revision);
         });
   }
 }
--- a/src/main/java/io/tansystack/cluster/StallDetector.java
+++ b/src/main/java/io/tansystack/cluster/StallDetector.java
@@ -6,45 +6,56 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notices that this process stood still while its clocks ran on, from a turn of the loop that comes
- * late. After that every timer is due at once and everybody looks silent, though it was this process
- * that did not listen: silences are to be counted from {@link #listeningSince} at the earliest.
+ * Detects pauses of this process (GC, VM or host) during which its clocks went on, by checks on the
+ * event loop that come late. After a pause all timers are due at once and all peers and workers
+ * seem unresponsive, although it was this process that received nothing: periods without messages
+ * must be counted from {@link #runningSince} at the earliest.
  */
 public final class StallDetector {
   private static final Logger log = LoggerFactory.getLogger(StallDetector.class);
 
-  /** Duties ask several times a second; a loop that is merely busy is late by less than this. */
-  private static final Duration LATE = Duration.ofMillis(1500);
+  /**
+   * Checks are made several times a second; an event loop that is merely busy is late by less than
+   * this.
+   */
+  private static final Duration STALL_THRESHOLD = Duration.ofMillis(1500);
 
   private final EventLoop loop;
-  private Duration lastTurn;
-  private Duration listeningSince;
-  private int stalls;
+  private Duration lastCheck;
+  private Duration runningSince;
+  private int stallCount;
 
   public StallDetector(EventLoop loop) {
     this.loop = loop;
-    this.lastTurn = loop.now();
-    this.listeningSince = lastTurn;
+    this.lastCheck = loop.now();
+    this.runningSince = lastCheck;
   }
 
-  /** To be called by every duty's turn before it judges anybody; whichever comes first notices. */
-  public void turn() {
+  /**
+   * Checks for a pause. Every periodic task calls this before it evaluates whether other processes
+   * are responsive, so the first one after a pause detects it.
+   */
+  public void check() {
     Duration now = loop.now();
-    Duration late = now.minus(lastTurn);
-    lastTurn = now;
-    if (late.compareTo(LATE) > 0) {
-      listeningSince = now;
-      stalls++;
-      log.warn("stalled for {} ms, {} times by now: nobody is judged by that time", late.toMillis(), stalls);
+    Duration late = now.minus(lastCheck);
+    lastCheck = now;
+    if (late.compareTo(STALL_THRESHOLD) > 0) {
+      runningSince = now;
+      stallCount++;
+      log.warn(
+          "stalled for {} ms, {} times so far: silence of other processes in that time is ignored",
+          late.toMillis(),
+          stallCount);
     }
   }
 
-  /** This process has listened from this moment on. */
-  public Duration listeningSince() {
-    return listeningSince;
+  /** The time since which this process has run without a pause. */
+  public Duration runningSince() {
+    return runningSince;
   }
 
-  public int stalls() {
-    return stalls;
+  /** The number of pauses detected so far. */
+  public int stallCount() {
+    return stallCount;
   }
 }
--- a/src/main/java/io/tansystack/cluster/SubmissionBatches.java
+++ b/src/main/java/io/tansystack/cluster/SubmissionBatches.java
@@ -23,21 +23,26 @@
 import java.util.function.Function;
 
 /**
- * Jobs that were accepted several in one record. Such a job counts as accepted and untouched until it
- * has a record of its own; among records that accept the same job the earliest counts, so that a
- * repeated submission never changes what was accepted first. The record that accepted it may go once
- * each of its jobs has been placed, cancelled or finished under its own key, which stays at least for as
- * long as an intake names the job.
+ * Records that accept several jobs each. Such a job is accepted and never placed until it has an
+ * individual record; among records that accept the same job the earliest applies, so that a
+ * repeated submission never changes what was accepted first. A submission batch is obsolete once
+ * each of its jobs has been placed, cancelled or finished under its individual key, which stays at
+ * least as long as a batch names the job.
  */
 final class SubmissionBatches {
-  private record Intake(long version, Set<String> named, Set<String> open) {}
+  /**
+   * A submission batch.
+   *
+   * @param openJobIds jobs that have not been placed, cancelled or finished individually yet
+   */
+  private record SubmissionBatch(long version, Set<String> jobIds, Set<String> openJobIds) {}
 
   private final Function<String, Job> jobs;
-  private final Map<String, Intake> intakes = new TreeMap<>();
-  private final ListMultimap<String, Intake> byJob = ArrayListMultimap.create();
-  private final Multiset<String> naming = HashMultiset.create();
+  private final Map<String, SubmissionBatch> batches = new TreeMap<>();
+  private final ListMultimap<String, SubmissionBatch> openBatchesByJob = ArrayListMultimap.create();
+  private final Multiset<String> batchCountByJob = HashMultiset.create();
 
-  /** @param jobs the newest record of a job; null for none */
+  /** @param jobs returns the newest record of a job by its ID, or null if there is none */
   SubmissionBatches(Function<String, Job> jobs) {
     this.jobs = jobs;
   }
@@ -50,17 +55,18 @@
   }
 
   /**
-   * Takes in an intake, or its removal ({@code value} null).
+   * Applies a change of a submission batch.
    *
-   * @param over whether the job is known to be over, with no more than its outcome left
-   * @param keep told of each job that counts as this record says
+   * @param value null if the batch was deleted
+   * @param finished whether the job is known to have finished, with only its outcome left
+   * @param replaceJob called for each job to which this batch's record now applies
    */
   void put(
       String name,
       ObjectNode value,
       long version,
-      Function<String, Boolean> over,
-      BiConsumer<String, Job> keep)
+      Function<String, Boolean> finished,
+      BiConsumer<String, Job> replaceJob)
       throws InvalidMessageException {
     if (value == null) {
       remove(name);
@@ -71,75 +77,82 @@
       records.add(JobRecord.read(FieldReader.map(node, "jobs")));
     }
     remove(name);
-    Intake intake = new Intake(version, new HashSet<>(), new HashSet<>());
-    intakes.put(name, intake);
+    SubmissionBatch batch = new SubmissionBatch(version, new HashSet<>(), new HashSet<>());
+    batches.put(name, batch);
     for (JobRecord record : records) {
       String id = record.spec().id();
-      intake.named.add(id);
-      naming.add(id);
+      batch.jobIds.add(id);
+      batchCountByJob.add(id);
       Job known = jobs.apply(id);
-      if (over.apply(id) || (known != null && !known.record().untouched())) {
+      if (finished.apply(id) || (known != null && !known.record().untouched())) {
         continue;
       }
-      long earliest = acceptedBy(id);
-      intake.open.add(id);
-      byJob.put(id, intake);
-      if (known == null || version < Math.min(earliest, ownVersion(known))) {
-        keep.accept(
+      long earliestAcceptance = earliestAcceptance(id);
+      batch.openJobIds.add(id);
+      openBatchesByJob.put(id, batch);
+      if (known == null || version < Math.min(earliestAcceptance, individualVersion(known))) {
+        replaceJob.accept(
             id, new Job(record, known == null ? 0 : known.version(), ClusterState.slotOf(id)));
       }
     }
   }
 
-  private static long ownVersion(Job job) {
+  private static long individualVersion(Job job) {
     return job.version() == 0 ? Long.MAX_VALUE : job.version();
   }
 
-  /** The version of the intake that accepted the job first; the largest number if there is none. */
-  private long acceptedBy(String id) {
+  /**
+   * The version of the earliest batch in which the job is open; {@link Long#MAX_VALUE} if there is
+   * none.
+   */
+  private long earliestAcceptance(String id) {
     long earliest = Long.MAX_VALUE;
-    for (Intake intake : byJob.get(id)) {
-      earliest = Math.min(earliest, intake.version);
+    for (SubmissionBatch batch : openBatchesByJob.get(id)) {
+      earliest = Math.min(earliest, batch.version);
     }
     return earliest;
   }
 
   private void remove(String name) {
-    Intake intake = intakes.remove(name);
-    if (intake != null) {
-      intake.open.forEach(id -> byJob.remove(id, intake));
-      intake.named.forEach(naming::remove);
+    SubmissionBatch batch = batches.remove(name);
+    if (batch != null) {
+      batch.openJobIds.forEach(id -> openBatchesByJob.remove(id, batch));
+      batch.jobIds.forEach(batchCountByJob::remove);
     }
   }
 
   /**
-   * The job's own record as it counts: two controllers may have accepted different descriptions under
-   * one id, one alone and the other among several. The earlier one stands until somebody has acted on
-   * the record, and who does so has written what stood.
+   * The effective record for a changed individual record of a job. Two controllers may have
+   * accepted different specs under one ID, one individually and the other in a batch. The earlier
+   * one applies until a controller has acted on the job, and that controller has written the record
+   * that applied.
    */
-  JobRecord own(String id, JobRecord record, long version) {
+  JobRecord effectiveRecord(String id, JobRecord record, long version) {
     if (!record.untouched()) {
-      byJob.removeAll(id).forEach(intake -> intake.open.remove(id));
+      openBatchesByJob.removeAll(id).forEach(batch -> batch.openJobIds.remove(id));
       return record;
     }
     Job known = jobs.apply(id);
-    return known != null && acceptedBy(id) < version ? known.record() : record;
+    return known != null && earliestAcceptance(id) < version ? known.record() : record;
   }
 
-  /** Whether an intake names the job, whatever has become of it: its own record has to stay for so long. */
-  boolean names(String id) {
-    return naming.contains(id);
+  /**
+   * Whether a batch names the job, in whatever state the job is; its individual record has to stay
+   * as long as that.
+   */
+  boolean references(String id) {
+    return batchCountByJob.contains(id);
   }
 
-  /** Those of which every job has gone on under its own key, with their versions. */
-  Map<String, Long> over() {
-    Map<String, Long> over = new TreeMap<>();
-    intakes.forEach(
-        (name, intake) -> {
-          if (intake.open.isEmpty()) {
-            over.put(name, intake.version);
+  /** The versions of batches all of whose jobs have been acted on individually, by batch name. */
+  Map<String, Long> obsolete() {
+    Map<String, Long> obsolete = new TreeMap<>();
+    batches.forEach(
+        (name, batch) -> {
+          if (batch.openJobIds.isEmpty()) {
+            obsolete.put(name, batch.version);
           }
         });
-    return over;
+    return obsolete;
   }
 }
--- a/src/main/java/io/tansystack/cluster/WallClockConverter.java
+++ b/src/main/java/io/tansystack/cluster/WallClockConverter.java
@@ -5,9 +5,9 @@
 import java.time.InstantSource;
 
 /**
- * Turns a time of day that some process of the cluster wrote down into this one's steady time. What a time
- * of day can prove is only that something was earlier: each clock may be wrong by {@code skew}, either way,
- * and wanders within that.
+ * Converts a wall-clock time that a process of the cluster recorded into the steady time of this
+ * process. A wall-clock time can only prove that something happened before a certain moment: each
+ * clock may be wrong by up to {@code skew} in either direction and varies within that range.
  */
 public final class WallClockConverter {
   private final EventLoop loop;
@@ -20,9 +20,12 @@
     this.skew = skew;
   }
 
-  /** The latest moment, now at most, at which a clock of the cluster can have shown this time of day. */
-  public Duration latest(long ms) {
-    Duration age = Duration.ofMillis(clock.millis() - ms).minus(skew.multipliedBy(2));
+  /**
+   * The latest steady time, now at most, at which a clock of the cluster can have shown this
+   * wall-clock time.
+   */
+  public Duration latest(long wallClockMs) {
+    Duration age = Duration.ofMillis(clock.millis() - wallClockMs).minus(skew.multipliedBy(2));
     return age.isNegative() ? loop.now() : loop.now().minus(age);
   }
 }
--- a/src/main/java/io/tansystack/fleet/Autoscaler.java
+++ b/src/main/java/io/tansystack/fleet/Autoscaler.java
@@ -115,13 +115,13 @@
   }
 
   private void turn() {
-    if (!slots.holdsFleet() || !lease.current()) {
+    if (!slots.holdsAutoscalerRole() || !lease.validAndFresh()) {
       return;
     }
     Duration now = loop.now();
-    if (heldVersion != world.fleet().version()
-        || heldSince.compareTo(stall.listeningSince()) < 0) {
-      heldVersion = world.fleet().version();
+    if (heldVersion != world.autoscaler().version()
+        || heldSince.compareTo(stall.runningSince()) < 0) {
+      heldVersion = world.autoscaler().version();
       startAnew(now);
     }
     if (now.minus(judgedAt).compareTo(JUDGE_EVERY) >= 0) {
@@ -193,7 +193,7 @@
 
   /** What is booting, for the other controllers; null where this one doesn't deal with the cloud. */
   public ObjectNode news() {
-    if (heldVersion == 0 || !slots.holdsFleet()) {
+    if (heldVersion == 0 || !slots.holdsAutoscalerRole()) {
       return null;
     }
     ObjectNode news = Cbor.map();
--- a/src/main/java/io/tansystack/fleet/MachineReleaser.java
+++ b/src/main/java/io/tansystack/fleet/MachineReleaser.java
@@ -153,10 +153,10 @@
         };
     // Without the condition, a deletion decided before the copy showed a lot would uncover what that says.
     if (world.placedOn(name).isEmpty()) {
-      writes.add(name, record.condition(), world.gone(name), then);
+      writes.add(name, record.condition(), world.deletion(name), then);
     } else {
       store.commitUrgent(
-          List.of(record.condition()), List.of(world.gone(name)), Duration.ofSeconds(3), then);
+          List.of(record.condition()), List.of(world.deletion(name)), Duration.ofSeconds(3), then);
     }
   }
 }
--- a/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
+++ b/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
@@ -53,7 +53,7 @@
         null,
         (status, map) -> {
           boolean ok = status == 200 && take(map);
-          if (ok && !map.equals(world.types())) {
+          if (ok && !map.equals(world.machineTypes())) {
             keep(map);
           }
           asked |= ok;
@@ -62,7 +62,7 @@
   }
 
   private void keep(ObjectNode map) {
-    if (world.types() != null) {
+    if (world.machineTypes() != null) {
       return; // Prices move all the time; what a machine holds does not.
     }
     store.commitUrgent(
@@ -87,8 +87,8 @@
   }
 
   public Collection<MachineType> all() {
-    if (!asked && world.types() != null && world.types() != readFrom) {
-      readFrom = world.types();
+    if (!asked && world.machineTypes() != null && world.machineTypes() != readFrom) {
+      readFrom = world.machineTypes();
       take(readFrom);
     }
     return types.values();
--- a/src/main/java/io/tansystack/fleet/Rentals.java
+++ b/src/main/java/io/tansystack/fleet/Rentals.java
@@ -133,8 +133,8 @@
   /** The duty was taken, or this process stood still while it had it. */
   void startAnew(Duration now) {
     heldSince = now;
-    if (fleetVersion != world.fleet().version()) {
-      fleetVersion = world.fleet().version();
+    if (fleetVersion != world.autoscaler().version()) {
+      fleetVersion = world.autoscaler().version();
       counter = 0; // Names of an earlier holding have its version in them.
     }
     requests.clear();
--- a/src/main/java/io/tansystack/jobs/FallbackProofWriter.java
+++ b/src/main/java/io/tansystack/jobs/FallbackProofWriter.java
@@ -80,7 +80,7 @@
       }
       ClusterState.Holder holder = world.slot(job.slot());
       boolean held =
-          holder != null && world.alive(holder.label(), holder.boot()) && acts.test(holder.label());
+          holder != null && world.alive(holder.label(), holder.incarnation()) && acts.test(holder.label());
       Duration after = held ? HOLDER_ACTS : FOREIGN_AFTER;
       if (now.minus(known.since).compareTo(after) < 0 || !store.reserve(1)) {
         continue;
--- a/src/main/java/io/tansystack/jobs/JobLookup.java
+++ b/src/main/java/io/tansystack/jobs/JobLookup.java
@@ -162,7 +162,7 @@
   private void amongEnded(String id, LookupCallback found) {
     Job shown = world.job(id);
     read(
-        ClusterState.endedKey(id),
+        ClusterState.archiveKey(id),
         found,
         change -> {
           if (change != null) {
--- a/src/main/java/io/tansystack/jobs/JobScheduler.java
+++ b/src/main/java/io/tansystack/jobs/JobScheduler.java
@@ -132,10 +132,10 @@
   }
 
   private Duration gap(int rest) {
-    Duration gap = slots.plans() ? lastPassTook.multipliedBy(rest + 1) : LOOK_GAP;
+    Duration gap = slots.isPlanner() ? lastPassTook.multipliedBy(rest + 1) : LOOK_GAP;
     // While a start lasts, each word of the machines opens room that others have waited for; and the
     // first passes, of a process that is still cold, take a tenth of a second.
-    gap = coverage.open(loop.now()) && gap.compareTo(START_GAP) > 0 ? START_GAP : gap;
+    gap = coverage.isWaiting(loop.now()) && gap.compareTo(START_GAP) > 0 ? START_GAP : gap;
     gap = gap.compareTo(LONGEST_REST) > 0 ? LONGEST_REST : gap;
     return (gap.compareTo(MIN_GAP) > 0 ? gap : MIN_GAP).minus(loop.now().minus(lastPass));
   }
@@ -164,10 +164,10 @@
     if (!lease.valid()) {
       return;
     }
-    if (slots.plans() != planned) {
+    if (slots.isPlanner() != planned) {
       planned = !planned;
       book.startAnew(planned);
-      coverage.startAnew(planned ? world.revision() : -1, lastPass);
+      coverage.reset(planned ? world.revision() : -1, lastPass);
     }
     book.refresh();
     if (planned) {
--- a/src/main/java/io/tansystack/jobs/ReclaimNotices.java
+++ b/src/main/java/io/tansystack/jobs/ReclaimNotices.java
@@ -33,7 +33,7 @@
     Set<String> jobs = new HashSet<>();
     for (String machine : machines) {
       for (IndexedPlacement placed : world.placedOn(machine)) {
-        jobs.add(placed.id());
+        jobs.add(placed.jobId());
       }
     }
     return jobs;
--- a/src/main/java/io/tansystack/jobs/SchedulingState.java
+++ b/src/main/java/io/tansystack/jobs/SchedulingState.java
@@ -115,7 +115,7 @@
     for (String machine : touched.machines()) {
       touchedMachine(machine);
     }
-    if (touched.controllers() && planned) {
+    if (touched.controllersChanged() && planned) {
       markAll(); // Tokens, and whether a machine is open, depend on its owner's record.
     }
   }
@@ -289,7 +289,7 @@
   Snapshot snapshot(List<MachineState> booting) {
     Duration now = loop.now();
     failures.retain(world.machines().keySet());
-    coverage.count(world.machines().values(), name -> views.apply(name) != null, now);
+    coverage.recount(world.machines().values(), name -> views.apply(name) != null, now);
     refreshMachines(now);
     long wallMs = clock.millis();
     List<JobState> jobs = new ArrayList<>();
--- a/src/main/java/io/tansystack/jobs/SubmissionWriter.java
+++ b/src/main/java/io/tansystack/jobs/SubmissionWriter.java
@@ -119,7 +119,7 @@
    * itself. One that stands in another's intake doesn't: that one is the earlier and counts.
    */
   private void together(List<Waiting> batch) {
-    String key = ClusterState.intakeKey(boot + "-" + counter++);
+    String key = ClusterState.submissionBatchKey(boot + "-" + counter++);
     List<Condition> conditions = new ArrayList<>();
     List<JobRecord> records = new ArrayList<>();
     conditions.add(new Condition(key, 0));
@@ -129,7 +129,7 @@
     }
     store.commitUrgent(
         conditions,
-        List.of(new Write(key, ClusterState.intake(records), 0)),
+        List.of(new Write(key, ClusterState.submissionBatch(records), 0)),
         WAIT,
         (result, revision) -> {
           if (result == CommitResult.CONFLICT) {
--- a/src/main/java/io/tansystack/recovery/CommandThrottle.java
+++ b/src/main/java/io/tansystack/recovery/CommandThrottle.java
@@ -12,116 +12,131 @@
 import java.util.function.Consumer;
 
 /**
- * Spreads the orders that a start has held up. What ended and what came free while nobody listened is
- * all found within a second or two; sent at once it is ten times the orders of any second before, on
- * machines and controllers that have leases to renew and reports to answer. While a start lasts, a
- * controller sends no more than some times what its recorded work needs: halts at once, since
- * cancelled work has only so long, then launches by urgency, and what is only to be forgotten last.
+ * Limits the rate of commands during startup. All tasks that ended and all capacity that became
+ * free while the controllers were down are found within a second or two; sent at once, the commands
+ * would be ten times as many as in any second before, on machines and controllers that have leases
+ * to renew and reports to answer. During startup a controller sends at most a multiple of the
+ * commands that its recorded work needs: stop commands at once, since cancelled work has to end
+ * within a time limit, then start commands by priority, and forget commands last.
  */
 public final class CommandThrottle {
   /**
-   * How many times the mean rate. The busiest second of a minute has some two and a half times the mean
-   * where jobs come in arrays, and twice that a start may need.
+   * The limit as a multiple of the mean command rate. Where jobs come in arrays, the busiest second
+   * of a minute has about 2.5 times the mean rate, and startup may need twice that.
    */
-  private static final double TIMES = 6;
+  private static final double RATE_FACTOR = 6;
 
-  private static final Duration TURN = Duration.ofMillis(50);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
   private final EventLoop loop;
-  private final Consumer<String> turn;
-  private final List<Set<String>> waiting = new ArrayList<>();
+  private final Consumer<String> retry;
+  /** The machines whose commands are held back, by urgency, each in the order of arrival. */
+  private final List<Set<String>> waitingMachines = new ArrayList<>();
+
   private RateBudget budget;
-  private Duration until = Duration.ZERO;
-  private boolean timed;
-  private String turnOf;
+  private Duration activeUntil = Duration.ZERO;
+  private boolean timerPending;
+  private String retriedMachine;
 
-  /** @param turn told of a machine whose turn has come; what it lacks is looked at anew then */
-  public CommandThrottle(EventLoop loop, Consumer<String> turn) {
+  /**
+   * @param retry called with the name of a waiting machine once commands may be sent to it; it has
+   *     to determine the commands again
+   */
+  public CommandThrottle(EventLoop loop, Consumer<String> retry) {
     this.loop = loop;
-    this.turn = turn;
-    for (int i = 0; i <= Reconciliation.FORGETS; i++) {
-      waiting.add(new LinkedHashSet<>());
+    this.retry = retry;
+    for (int i = 0; i <= Reconciliation.FORGET_URGENCY; i++) {
+      waitingMachines.add(new LinkedHashSet<>());
     }
   }
 
   /**
-   * Orders a second that what is recorded on a machine needs as it goes on: a launch and a forget for
-   * each task that ends. A machine has at least one every ten seconds.
+   * The number of commands per second that the placements on a machine need in normal operation:
+   * one start and one forget command for each task that ends; at least one command every 10 s.
    */
-  public static double usual(List<IndexedPlacement> placed) {
-    double usual = 0.1;
+  public static double expectedRate(List<IndexedPlacement> placed) {
+    double commandsPerSecond = 0.1;
     for (IndexedPlacement p : placed) {
       JobSpec spec = p.job().record().spec();
       if (spec != null && spec.estimateS() > 0) {
-        usual += 2 * p.placement().tasks().size() / spec.estimateS();
+        commandsPerSecond += 2 * p.placement().tasks().size() / spec.estimateS();
       }
     }
-    return usual;
+    return commandsPerSecond;
   }
 
-  /** A start begins that takes so long at most; {@code usual} orders a second would be sent without it. */
-  public void begin(double usual, Duration lasting) {
-    double perSecond = usual * TIMES;
+  /**
+   * Begins a startup, during which commands are throttled.
+   *
+   * @param expectedRate the number of commands per second in normal operation
+   * @param maxDuration the time after which throttling ends
+   */
+  public void begin(double expectedRate, Duration maxDuration) {
+    double perSecond = expectedRate * RATE_FACTOR;
     budget = new RateBudget(perSecond, Math.max(1, perSecond / 4), loop.now());
-    until = loop.now().plus(lasting);
+    activeUntil = loop.now().plus(maxDuration);
   }
 
-  /** Whether orders are spread. At the end of a start all goes that still waits: new work may have come. */
+  /**
+   * Whether commands are throttled. At the end of a startup all waiting commands are sent, since
+   * new work may have arrived.
+   */
   public boolean active() {
-    return loop.now().compareTo(until) < 0;
+    return loop.now().compareTo(activeUntil) < 0;
   }
 
-  /** How many machines wait for their turn; at most all of this controller's. */
-  public int waiting() {
-    return waiting.stream().mapToInt(Set::size).sum();
+  /** The number of machines whose commands are held back; at most all of this controller's. */
+  public int waitingMachines() {
+    return waitingMachines.stream().mapToInt(Set::size).sum();
   }
 
   /**
-   * Whether so many orders may go to the machine now. If not, its turn comes.
+   * Whether this many commands may be sent to the machine now. If not, the machine is queued and
+   * retried later. Stop commands are always admitted.
    *
-   * @param urgency as {@link Reconciliation#urgency} tells
+   * @param urgency the result of {@link Reconciliation#urgency}
    */
-  public boolean mayGo(String machine, int urgency, int orders) {
-    boolean first = !active() || machine.equals(turnOf) || nobodyWaits(urgency);
-    boolean goes = first && (!active() || budget.take(orders, true, loop.now()));
-    if (goes || urgency == Reconciliation.HALTS) {
-      waiting.forEach(names -> names.remove(machine));
+  public boolean admit(String machine, int urgency, int commandCount) {
+    boolean unblocked = !active() || machine.equals(retriedMachine) || noneWaiting(urgency);
+    boolean admitted = unblocked && (!active() || budget.take(commandCount, true, loop.now()));
+    if (admitted || urgency == Reconciliation.STOP_URGENCY) {
+      waitingMachines.forEach(machines -> machines.remove(machine));
       return true;
     }
-    if (waiting.get(urgency).add(machine)) {
-      for (int other = 0; other < waiting.size(); other++) {
+    if (waitingMachines.get(urgency).add(machine)) {
+      for (int other = 0; other < waitingMachines.size(); other++) {
         if (other != urgency) {
-          waiting.get(other).remove(machine);
+          waitingMachines.get(other).remove(machine);
         }
       }
-      later();
+      scheduleTick();
     }
     return false;
   }
 
-  private boolean nobodyWaits(int urgency) {
-    return waiting.subList(0, urgency + 1).stream().allMatch(Set::isEmpty);
+  private boolean noneWaiting(int urgency) {
+    return waitingMachines.subList(0, urgency + 1).stream().allMatch(Set::isEmpty);
   }
 
-  private void later() {
-    if (!timed) {
-      timed = true;
-      loop.after(TURN, this::next);
+  private void scheduleTick() {
+    if (!timerPending) {
+      timerPending = true;
+      loop.after(TICK_INTERVAL, this::tick);
     }
   }
 
-  private void next() {
-    timed = false;
-    for (Set<String> names : waiting) {
-      while (!names.isEmpty()) {
+  private void tick() {
+    timerPending = false;
+    for (Set<String> machines : waitingMachines) {
+      while (!machines.isEmpty()) {
         if (active() && budget.available(loop.now()) < 1) {
-          later();
+          scheduleTick();
           return;
         }
-        turnOf = names.iterator().next();
-        names.remove(turnOf);
-        turn.accept(turnOf);
-        turnOf = null;
+        retriedMachine = machines.iterator().next();
+        machines.remove(retriedMachine);
+        retry.accept(retriedMachine);
+        retriedMachine = null;
       }
     }
   }
--- a/src/main/java/io/tansystack/recovery/FailoverCoordinator.java
+++ b/src/main/java/io/tansystack/recovery/FailoverCoordinator.java
@@ -19,76 +19,84 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands all machines of a controller that has ended to the others by one write, {@link FailoverRecord}. It holds
- * only while that controller has no record, and while nobody else has named heirs since; so a
- * controller that comes back at the same moment keeps its machines, and of two that name heirs one
- * wins.
+ * Makes other controllers the owners of all machines of a failed controller by writing one
+ * {@link FailoverRecord}. The write succeeds only while the failed controller has no record and
+ * while no other controller has written a failover record since. So a controller that comes back at
+ * the same moment keeps its machines, and of two controllers that write failover records one
+ * succeeds.
  */
 public final class FailoverCoordinator {
   private static final Logger log = LoggerFactory.getLogger(FailoverCoordinator.class);
-  private static final Duration WAIT = Duration.ofSeconds(2);
+  private static final Duration COMMIT_TIMEOUT = Duration.ofSeconds(2);
 
-  /** Until the copy of the records has had time to show the outcome. */
-  private static final Duration SHOWN = Duration.ofMillis(500);
+  /** After this time the cluster state should show the outcome of the write. */
+  private static final Duration VISIBILITY_DELAY = Duration.ofMillis(500);
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final String label;
   private final Predicate<String> unfit;
-  private final Set<String> underWay = new HashSet<>();
+  private final Set<String> inProgress = new HashSet<>();
 
-  /** @param unfit controllers to which no worker should be sent */
+  /** @param unfit whether no worker should be sent to the controller of this label */
   public FailoverCoordinator(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
+      ClusterState clusterState,
       String label,
       Predicate<String> unfit) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
+    this.clusterState = clusterState;
     this.label = label;
     this.unfit = unfit;
   }
 
-  /** Hands over all that was claimed by the machine's claimant. */
-  public void handOver(MachineRecord machine, String why) {
+  /**
+   * Fails over all machines that were claimed by the claimant of the given machine.
+   *
+   * @param reason for the log
+   */
+  public void failOver(MachineRecord machine, String reason) {
     String claimant = machine.claimant();
-    if (!world.alive(label) || !underWay.add(claimant)) {
+    if (!clusterState.alive(label) || !inProgress.add(claimant)) {
       return;
     }
-    Map<String, List<String>> heirs = heirs();
+    Map<String, List<String>> successors = successorsByZone();
     store.commitUrgent(
-        OwnershipConditions.left(world, machine, label),
-        List.of(new Write(ClusterState.heirsKey(claimant), FailoverRecord.write(heirs), 0)),
-        WAIT,
+        OwnershipConditions.failoverAllowed(clusterState, machine, label),
+        List.of(new Write(ClusterState.failoverKey(claimant), FailoverRecord.write(successors), 0)),
+        COMMIT_TIMEOUT,
         (result, revision) -> {
           log.info(
               "heirs of={} to={} token={} result={} because={}",
               claimant,
-              heirs,
+              successors,
               revision,
               result,
-              why);
-          loop.after(SHOWN, () -> underWay.remove(claimant));
+              reason);
+          loop.after(VISIBILITY_DELAY, () -> inProgress.remove(claimant));
         });
   }
 
-  /** Those that act, by their zones: a worker's own zone may be cut off from others. */
-  private Map<String, List<String>> heirs() {
-    Map<String, List<String>> heirs = new TreeMap<>();
+  /**
+   * The controllers that are fit to own machines, by zone: a worker's zone may be cut off from
+   * other zones.
+   */
+  private Map<String, List<String>> successorsByZone() {
+    Map<String, List<String>> byZone = new TreeMap<>();
     List<String> all = new ArrayList<>();
-    world
+    clusterState
         .controllers()
         .forEach(
             (controller, record) -> {
               if (controller.equals(label) || !unfit.test(controller)) {
-                heirs.computeIfAbsent(record.zone(), k -> new ArrayList<>()).add(controller);
+                byZone.computeIfAbsent(record.zone(), k -> new ArrayList<>()).add(controller);
                 all.add(controller);
               }
             });
-    heirs.put(FailoverRecord.ELSEWHERE, all);
-    return heirs;
+    byZone.put(FailoverRecord.OTHER_ZONES, all);
+    return byZone;
   }
 }
--- a/src/main/java/io/tansystack/recovery/FleetCoverage.java
+++ b/src/main/java/io/tansystack/recovery/FleetCoverage.java
@@ -9,86 +9,100 @@
 import java.util.function.Predicate;
 
 /**
- * How much of the recorded fleet a controller that has just come to plan has heard of, by type, zone and
- * kind. Until it is told of a machine it finds no room there, and would stop others' work, or rent, for
- * what fits well on a machine that is about to report. Such a decision waits for the machines that it
- * compares, and for no others: jobs of a type or zone that is known go on, and a launch depends on its
- * own machine alone. The wait is bounded: what has not been heard of by then hangs, is dead or cut off.
+ * The part of the recorded fleet about which a controller that has just become a planner has
+ * received status, by machine type, zone and kind (spot or not). A machine without status has no
+ * free capacity for the planner, which would preempt tasks or rent machines for work that fits on a
+ * machine that is about to report. Such decisions wait for the machines that they compare, and for
+ * no others: jobs that use known types or zones go on, and a task start depends on its own machine
+ * alone. The wait is bounded: machines without status after it hang, are dead or are cut off.
  */
 public final class FleetCoverage {
-  /** Of the machines that a job may use, this part may be unknown: some always hang. */
-  private static final double UNKNOWN = 0.1;
+  /** This share of the machines that a job may use may be unknown: some machines always hang. */
+  private static final double MAX_UNKNOWN_SHARE = 0.1;
 
-  private final Duration longest;
-  private final Object2IntOpenHashMap<MachineOffering> all = new Object2IntOpenHashMap<>();
-  private final Object2IntOpenHashMap<MachineOffering> unheard = new Object2IntOpenHashMap<>();
-  private long recordedUntil = -1;
-  private Duration until = Duration.ZERO;
+  private final Duration maxWait;
+  private final Object2IntOpenHashMap<MachineOffering> countByOffering =
+      new Object2IntOpenHashMap<>();
+  private final Object2IntOpenHashMap<MachineOffering> unknownMachines =
+      new Object2IntOpenHashMap<>();
+  private long recordedRevision = -1;
+  private Duration waitUntil = Duration.ZERO;
 
-  /** @param longest by then every machine that can report has, and its owner has told of it */
-  public FleetCoverage(Duration longest) {
-    this.longest = longest;
+  /**
+   * @param maxWait the time within which all machines that can report have done so, and their
+   *     owners have published their status
+   */
+  public FleetCoverage(Duration maxWait) {
+    this.maxWait = maxWait;
   }
 
-  /** This controller has come to plan: machines recorded up to this revision it has to be told of. */
-  public void startAnew(long revision, Duration now) {
-    recordedUntil = revision;
-    until = now.plus(longest);
-    all.clear();
-    unheard.clear();
+  /**
+   * To be called when this controller becomes a planner: it waits for the status of all machines
+   * that were recorded up to this revision.
+   */
+  public void reset(long revision, Duration now) {
+    recordedRevision = revision;
+    waitUntil = now.plus(maxWait);
+    countByOffering.clear();
+    unknownMachines.clear();
   }
 
-  /** Whether there is still something to wait for. */
-  public boolean open(Duration now) {
-    return now.compareTo(until) < 0;
+  /** Whether the status of some machines is still waited for. */
+  public boolean isWaiting(Duration now) {
+    return now.compareTo(waitUntil) < 0;
   }
 
-  /** Counts the machines anew; {@code heard} tells whether anything is known of one. */
-  public void count(Iterable<MachineRecord> machines, Predicate<String> heard, Duration now) {
-    all.clear();
-    unheard.clear();
-    if (!open(now)) {
+  /**
+   * Counts all machines and the unknown ones again.
+   *
+   * @param known whether the status of the machine of this name is known
+   */
+  public void recount(Iterable<MachineRecord> machines, Predicate<String> known, Duration now) {
+    countByOffering.clear();
+    unknownMachines.clear();
+    if (!isWaiting(now)) {
       return;
     }
     for (MachineRecord machine : machines) {
-      MachineOffering kind = new MachineOffering(machine.type(), machine.zone(), machine.spot());
-      all.addTo(kind, 1);
-      // One that was claimed since came up just now, and what comes up tells of itself.
-      if (machine.version() <= recordedUntil && !heard.test(machine.name())) {
-        unheard.addTo(kind, 1);
+      MachineOffering offering =
+          new MachineOffering(machine.type(), machine.zone(), machine.spot());
+      countByOffering.addTo(offering, 1);
+      // A machine that was claimed later has just come up, and its status follows by itself.
+      if (machine.version() <= recordedRevision && !known.test(machine.name())) {
+        unknownMachines.addTo(offering, 1);
       }
     }
-    if (unheard.isEmpty()) {
-      until = now; // What is lost from here on is no matter of a start.
+    if (unknownMachines.isEmpty()) {
+      waitUntil = now; // Machines that are lost from now on don't concern the startup.
     }
   }
 
-  /** Whether enough is known of the machines that the job may use to tell what it lacks. */
+  /** Whether enough machines that the job may use are known to determine its unmet demand. */
   public boolean covers(JobSpec spec) {
-    int machines = 0;
+    int total = 0;
     int unknown = 0;
-    for (Object2IntMap.Entry<MachineOffering> entry : all.object2IntEntrySet()) {
-      MachineOffering kind = entry.getKey();
-      if (spec.allows(kind.type(), kind.zone(), kind.spot())) {
-        machines += entry.getIntValue();
-        unknown += unheard.getInt(kind);
+    for (Object2IntMap.Entry<MachineOffering> entry : countByOffering.object2IntEntrySet()) {
+      MachineOffering offering = entry.getKey();
+      if (spec.allows(offering.type(), offering.zone(), offering.spot())) {
+        total += entry.getIntValue();
+        unknown += unknownMachines.getInt(offering);
       }
     }
-    return unknown <= machines * UNKNOWN;
+    return unknown <= total * MAX_UNKNOWN_SHARE;
   }
 
-  /** Whether enough is known of all machines to weigh them against each other. */
+  /** Whether enough of all machines are known to compare them with each other. */
   public boolean coversAll() {
-    return unheard() <= machines() * UNKNOWN;
+    return unknownMachines() <= machineCount() * MAX_UNKNOWN_SHARE;
   }
 
-  /** How many machines have not been heard of. */
-  public int unheard() {
-    return unheard.values().intStream().sum();
+  /** The number of machines whose status is unknown. */
+  public int unknownMachines() {
+    return unknownMachines.values().intStream().sum();
   }
 
-  /** How many machines there are, while there is something to wait for. */
-  public int machines() {
-    return all.values().intStream().sum();
+  /** The number of recorded machines; 0 when nothing is waited for any more. */
+  public int machineCount() {
+    return countByOffering.values().intStream().sum();
   }
 }
--- a/src/main/java/io/tansystack/recovery/OwnerLiveness.java
+++ b/src/main/java/io/tansystack/recovery/OwnerLiveness.java
@@ -8,170 +8,187 @@
 import java.util.Map;
 
 /**
- * What to make of a controller that owns a machine whose worker comes here. After all of them ended
- * they come back one after the other within a second or two, and a claim of each machine by whoever is
- * first would use up the write limit for seconds, for nothing. So an owner that may be starting is
- * awaited: as long as its workers' leases certainly allow, and no longer than starts have been seen to
- * take. No rule rests on a verdict; a wrong one costs one write or some seconds.
+ * Evaluates whether the controller that owns a machine is alive, when the machine's worker contacts
+ * this controller instead. After a full restart the controllers come back one after the other
+ * within a second or two; if the first one claimed each machine, this would use up the write limit
+ * for seconds, needlessly. So an owner that may be starting is waited for: as long as its workers'
+ * leases certainly allow, and no longer than observed restarts have taken. Correctness does not
+ * depend on a verdict; a wrong one costs one write or a few seconds.
  */
 public final class OwnerLiveness {
   /** What to do with a worker of the controller. */
   public enum Verdict {
-    /** It acts: its workers belong there. */
+    /** It is active: its workers are redirected to it. */
     HERE,
-    /** Its process seems to have ended, and may be back any moment. */
+    /** Its process seems to have ended, and is expected back at any moment. */
     AWAITED,
-    /** It has no record and is late, or nothing says that it is coming back. */
+    /** It has no record and is overdue, or nothing suggests that it is coming back. */
     LATE,
-    /** It has its record but does not answer, or does not hear its workers. */
+    /** It has a record but does not respond, or does not receive its workers' reports. */
     UNFIT
   }
 
-  /** Its peers start as late as this controller did, give or take. */
-  private static final Duration SETTLE = Duration.ofMillis(2500);
+  /** Peers start about as late as this controller does; none is overdue before this time. */
+  private static final Duration STABILIZATION_DELAY = Duration.ofMillis(2500);
 
-  /** A worker tries again after a second; the heirs are written and known; it is sent on and answered. */
-  private static final Duration HANDOVER = Duration.ofMillis(3500);
+  /**
+   * The time until a worker is answered by a successor: the worker retries after 1 s, the failover
+   * record is written and becomes known, and the worker is redirected and answered.
+   */
+  private static final Duration FAILOVER_TIME = Duration.ofMillis(3500);
 
-  /** A record may outlive its time by so much at the state service, and by a renewal's interval. */
+  /** Allows for late expiry of a record in the state service, and for a renewal interval. */
   private static final Duration RECORD_MARGIN = Duration.ofSeconds(1);
 
-  private static final int MAX_SEEN = 1000;
+  private static final int MAX_OBSERVED = 1000;
 
-  /** The start whose record was seen last, and since when; since when it was away and without a record. */
-  private static final class Seen {
-    String boot;
-    Duration bootSince;
-    Duration awaySince;
-    Duration goneSince;
+  /**
+   * The incarnation whose record was seen last and the time at which it was first seen, and the
+   * times since which the controller has been unreachable and without a record; null if it is not.
+   */
+  private static final class ObservedOwner {
+    String incarnation;
+    Duration incarnationSince;
+    Duration unreachableSince;
+    Duration unregisteredSince;
   }
 
   private final EventLoop loop;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final InstantSource clock;
-  private final Duration recordLife;
+  private final Duration recordTtl;
   private final Duration workerLease;
   private final Duration reportInterval;
-  private final RecoveryContext.PeerHealth contact;
-  private final Map<String, Seen> seen = new HashMap<>();
-  private Duration actsSince;
+  private final RecoveryContext.PeerHealth peerHealth;
+  private final Map<String, ObservedOwner> observedOwners = new HashMap<>();
+  /** The time at which this controller first evaluated an owner; null before that. */
+  private Duration activeSince;
 
-  /** Records of controllers that are later than this are none of before an end of all. */
-  private long actsFrom;
+  /** Controller records with a later version were not written before a full restart. */
+  private long activeFromRevision;
 
-  /** The newest sign of life in the records when this controller came to act. */
-  private Duration aliveBefore;
+  /** The time of the newest activity in the records when this controller became active. */
+  private Duration activityBefore;
 
-  /** The longest start seen, from the last renewal to the new record; null for none. */
-  private Duration longestStart;
+  /** The longest restart observed, from the last renewal to the new record; null if none was. */
+  private Duration longestRestart;
 
-  /** @param recordLife how long a controller's record outlives its last renewal */
+  /** @param recordTtl the time for which a controller's record outlives its last renewal */
   public OwnerLiveness(
       EventLoop loop,
-      ClusterState world,
+      ClusterState clusterState,
       InstantSource clock,
-      Duration recordLife,
+      Duration recordTtl,
       Duration workerLease,
       Duration reportInterval,
-      RecoveryContext.PeerHealth contact) {
+      RecoveryContext.PeerHealth peerHealth) {
     this.loop = loop;
-    this.world = world;
+    this.clusterState = clusterState;
     this.clock = clock;
-    this.recordLife = recordLife;
+    this.recordTtl = recordTtl;
     this.workerLease = workerLease;
     this.reportInterval = reportInterval;
-    this.contact = contact;
+    this.peerHealth = peerHealth;
   }
 
-  /** What to make of the controller now; to be asked only while this one may act. */
+  /** Evaluates the controller now; to be called only while this controller may act. */
   public Verdict verdict(String controller) {
     Duration now = loop.now();
-    if (actsSince == null) {
-      actsSince = now;
-      actsFrom = world.revision();
-      aliveBefore = lastSign(now);
+    if (activeSince == null) {
+      activeSince = now;
+      activeFromRevision = clusterState.revision();
+      activityBefore = lastActivity(now);
     }
-    Seen about = about(controller);
-    ClusterState.ControllerRecord record = world.controllers().get(controller);
+    ObservedOwner owner = observed(controller);
+    ClusterState.ControllerRecord record = clusterState.controllers().get(controller);
     if (record != null) {
-      return present(about, record, controller, now);
+      return registeredVerdict(owner, record, controller, now);
     }
-    if (about.goneSince == null) {
-      about.goneSince = now;
+    if (owner.unregisteredSince == null) {
+      owner.unregisteredSince = now;
     }
-    boolean late = contact.silent().test(controller) || now.compareTo(lateAt(about)) >= 0;
+    boolean late = peerHealth.unresponsive().test(controller) || now.compareTo(lateAt(owner)) >= 0;
     return late ? Verdict.LATE : Verdict.AWAITED;
   }
 
-  private Seen about(String controller) {
-    if (seen.size() >= MAX_SEEN) {
-      seen.clear(); // Labels are those of the settings, a few; records of others may be strewn about.
+  private ObservedOwner observed(String controller) {
+    if (observedOwners.size() >= MAX_OBSERVED) {
+      // The settings name only a few controllers, but machine records may name arbitrary ones.
+      observedOwners.clear();
     }
-    return seen.computeIfAbsent(controller, k -> new Seen());
+    return observedOwners.computeIfAbsent(controller, k -> new ObservedOwner());
   }
 
-  private Verdict present(
-      Seen about, ClusterState.ControllerRecord record, String controller, Duration now) {
-    if (about.boot != null && !about.boot.equals(record.boot()) && about.awaySince != null) {
-      Duration took = now.minus(about.awaySince);
-      longestStart = longestStart == null || took.compareTo(longestStart) > 0 ? took : longestStart;
+  private Verdict registeredVerdict(
+      ObservedOwner owner, ClusterState.ControllerRecord record, String controller, Duration now) {
+    if (owner.incarnation != null
+        && !owner.incarnation.equals(record.incarnation())
+        && owner.unreachableSince != null) {
+      Duration took = now.minus(owner.unreachableSince);
+      longestRestart =
+          longestRestart == null || took.compareTo(longestRestart) > 0 ? took : longestRestart;
     }
-    if (!record.boot().equals(about.boot)) {
-      about.bootSince = about.boot == null && record.version() <= actsFrom ? actsSince : now;
-      about.boot = record.boot();
+    if (!record.incarnation().equals(owner.incarnation)) {
+      owner.incarnationSince =
+          owner.incarnation == null && record.version() <= activeFromRevision ? activeSince : now;
+      owner.incarnation = record.incarnation();
     }
-    about.goneSince = null;
-    boolean heard =
-        (record.version() > actsFrom || contact.heard().test(controller))
-            && !contact.refuses().test(controller);
-    boolean unfit = contact.unfit().test(controller);
-    if (heard && !unfit) {
-      about.awaySince = null;
+    owner.unregisteredSince = null;
+    boolean heardFrom =
+        (record.version() > activeFromRevision || peerHealth.heardFrom().test(controller))
+            && !peerHealth.refusesConnections().test(controller);
+    boolean unfit = peerHealth.unfit().test(controller);
+    if (heardFrom && !unfit) {
+      owner.unreachableSince = null;
       return Verdict.HERE;
     }
-    if (about.awaySince == null) {
-      about.awaySince = now;
+    if (owner.unreachableSince == null) {
+      owner.unreachableSince = now;
     }
-    // The record may be that of a start which has ended, or the start so new that it may not act yet.
-    // One that is renewed while connections are refused, or that is never heard of, is neither.
-    Duration since = heard ? about.bootSince : about.awaySince;
-    if (now.minus(since).compareTo(recordLife.plus(RECORD_MARGIN)) < 0) {
+    // The record may belong to an incarnation that has ended, or to one so new that it may not act
+    // yet. Neither is true if the record is still renewed while connections are refused, or if the
+    // controller is never heard from.
+    Duration since = heardFrom ? owner.incarnationSince : owner.unreachableSince;
+    if (now.minus(since).compareTo(recordTtl.plus(RECORD_MARGIN)) < 0) {
       return Verdict.AWAITED;
     }
     return unfit ? Verdict.UNFIT : Verdict.HERE;
   }
 
   /**
-   * When the controller, whose record is gone, is late. Its workers' leases count from a report that
-   * was sent up to an interval before the last one it can have answered.
+   * The time from which the controller, whose record is gone, is overdue. Its workers' leases run
+   * from a report that was sent up to an interval before the last one that it can have answered.
    */
-  private Duration lateAt(Seen about) {
-    Duration answered = about.goneSince.minus(recordLife);
-    if (about.goneSince.equals(actsSince) || answered.compareTo(actsSince) < 0) {
-      // It had ended before this controller came to act, nobody here knows when.
-      answered = aliveBefore.compareTo(answered) < 0 ? aliveBefore : answered;
+  private Duration lateAt(ObservedOwner owner) {
+    Duration lastAnswer = owner.unregisteredSince.minus(recordTtl);
+    if (owner.unregisteredSince.equals(activeSince) || lastAnswer.compareTo(activeSince) < 0) {
+      // It had ended before this controller became active; it is not known when.
+      lastAnswer = activityBefore.compareTo(lastAnswer) < 0 ? activityBefore : lastAnswer;
     }
-    if (about.awaySince == null) {
-      about.awaySince = answered;
+    if (owner.unreachableSince == null) {
+      owner.unreachableSince = lastAnswer;
     }
     Duration leaseEnds =
-        answered.plus(workerLease).minus(reportInterval.multipliedBy(5).dividedBy(4));
-    Duration late = leaseEnds.minus(HANDOVER);
-    if (longestStart != null) {
-      Duration usual = answered.plus(longestStart.multipliedBy(2)).plus(RECORD_MARGIN);
-      late = usual.compareTo(late) < 0 ? usual : late;
+        lastAnswer.plus(workerLease).minus(reportInterval.multipliedBy(5).dividedBy(4));
+    Duration late = leaseEnds.minus(FAILOVER_TIME);
+    if (longestRestart != null) {
+      Duration expectedBack = lastAnswer.plus(longestRestart.multipliedBy(2)).plus(RECORD_MARGIN);
+      late = expectedBack.compareTo(late) < 0 ? expectedBack : late;
     }
-    Duration settled = actsSince.plus(SETTLE);
-    return late.compareTo(settled) > 0 ? late : settled;
+    Duration earliest = activeSince.plus(STABILIZATION_DELAY);
+    return late.compareTo(earliest) > 0 ? late : earliest;
   }
 
   /**
-   * When somebody last accepted a job, by the records: some controller acted then. With no job left
-   * there is no work to lose, and any moment will do.
+   * The time at which the newest recorded job was accepted: a controller was active then. If there
+   * is no job, there is no work to lose, and any time will do.
    */
-  private Duration lastSign(Duration now) {
+  private Duration lastActivity(Duration now) {
     long newest =
-        world.jobs().values().stream().mapToLong(job -> job.record().submittedMs()).max().orElse(0);
+        clusterState.jobs().values().stream()
+            .mapToLong(job -> job.record().submittedMs())
+            .max()
+            .orElse(0);
     long agoMs = Math.max(0, clock.millis() - newest);
     return now.minusMillis(Math.min(agoMs, Duration.ofDays(1).toMillis()));
   }
--- a/src/main/java/io/tansystack/recovery/Reconciliation.java
+++ b/src/main/java/io/tansystack/recovery/Reconciliation.java
@@ -16,36 +16,46 @@
 import java.util.function.Predicate;
 
 /**
- * Every difference between what the records place on a machine and what its worker reports, and what is
- * to be done about it. A pure function of both: it is asked anew for every report and record, so nothing
- * need be remembered over a restart, and what was done already is a difference no more.
+ * The differences between the placements recorded on a machine and the tasks that its worker
+ * reports, as the commands that resolve them. This is a pure function of both and is computed again
+ * for every report and record, so no state has to survive a restart, and what was done already is
+ * no difference any more.
  *
  * <table>
- *   <caption>What the records say, what the worker says, what follows</caption>
- *   <tr><td>placed, wanted<td>not there, same session<td>launch
- *   <tr><td>placed, wanted<td>there in any state<td>nothing: what has ended is taken into the record first
- *   <tr><td>placed, wanted<td>a later session<td>nothing: that session proves that it is over
- *   <tr><td>placed, to be stopped or its job over<td>there, not ended<td>halt, with time to save what is wanted
- *   <tr><td>placed, to be stopped or its job over<td>not there, same session<td>absent: the owner's word for it
- *   <tr><td>not placed, or another attempt<td>there, not ended<td>halt at once
- *   <tr><td>not placed, or another attempt<td>there, ended<td>forget: its outcome is recorded, or nobody wants it
+ *   <caption>Record, report, and what follows</caption>
+ *   <tr><td>placed, wanted<td>not reported, same session<td>start
+ *   <tr><td>placed, wanted<td>reported in any state
+ *       <td>nothing: if it has ended, this is first applied to the record
+ *   <tr><td>placed, wanted<td>a later session<td>nothing: that session proves that it has ended
+ *   <tr><td>placed, to be stopped or its job finished<td>reported, not ended
+ *       <td>stop, with time to save a checkpoint if the job is still active
+ *   <tr><td>placed, to be stopped or its job finished<td>not reported, same session
+ *       <td>absent: the owner confirms that it does not run
+ *   <tr><td>not placed, or another attempt<td>reported, not ended<td>stop at once
+ *   <tr><td>not placed, or another attempt<td>reported, ended
+ *       <td>forget: its outcome is recorded or not wanted
  * </table>
  *
- * @param launches most urgent first
- * @param mostUrgent the priority of the first launch; null for none
- * @param absent attempts that are unwanted and not there
+ * @param starts highest priority first
+ * @param highestPriority the priority of the first start command; null if there is none
+ * @param absentAttempts attempts that are unwanted and not reported
  */
 public record Reconciliation(
-    List<Command> halts,
-    List<Command> launches,
-    Priority mostUrgent,
+    List<Command> stops,
+    List<Command> starts,
+    Priority highestPriority,
     List<Command> forgets,
-    List<TaskAttempt> absent) {
-  public static final int HALTS = 0;
-  public static final int FORGETS = 1 + Priority.values().length;
+    List<TaskAttempt> absentAttempts) {
+  /** The urgency of stop commands, which comes first. */
+  public static final int STOP_URGENCY = 0;
 
-  /** What is recorded on the machine of one job. */
-  private record Recorded(Placement placement, JobRecord job) {
+  /**
+   * The urgency of forget commands, which comes last; start commands are in between by priority.
+   */
+  public static final int FORGET_URGENCY = 1 + Priority.values().length;
+
+  /** A recorded placement on the machine and its job. */
+  private record RecordedTask(Placement placement, JobRecord job) {
     boolean wanted() {
       return !placement.stop() && job.active();
     }
@@ -56,73 +66,84 @@
   }
 
   /**
-   * @param session of the newest report
-   * @param listed that report's lines
-   * @param placed what is recorded on the machine
+   * Compares the newest report of a machine with its recorded placements.
+   *
+   * @param session the session of the newest report
+   * @param reported the tasks in that report
+   * @param placed the placements recorded on the machine
    */
   public static Reconciliation of(
-      long session, Map<TaskAttempt, TaskReport> listed, List<IndexedPlacement> placed) {
-    Map<TaskAttempt, Recorded> recorded = new LinkedHashMap<>();
-    for (IndexedPlacement p : placed) {
-      Job job = p.job();
-      Recorded r = new Recorded(p.placement(), job.record());
-      r.placement
+      long session, Map<TaskAttempt, TaskReport> reported, List<IndexedPlacement> placed) {
+    Map<TaskAttempt, RecordedTask> recorded = new LinkedHashMap<>();
+    for (IndexedPlacement indexed : placed) {
+      Job job = indexed.job();
+      RecordedTask expected = new RecordedTask(indexed.placement(), job.record());
+      expected.placement
           .tasks()
           .forEach(
               task ->
                   recorded.put(
-                      new TaskAttempt(new TaskId(job.id(), task), r.placement.attempt()), r));
+                      new TaskAttempt(new TaskId(job.id(), task), expected.placement.attempt()),
+                      expected));
     }
-    List<Command> halts = new ArrayList<>();
+    List<Command> stops = new ArrayList<>();
     List<Command> forgets = new ArrayList<>();
-    listed.forEach(
+    reported.forEach(
         (attempt, task) -> {
-          Recorded r = recorded.get(attempt);
+          RecordedTask expected = recorded.get(attempt);
           if (task.exited()) {
-            if (r == null) {
+            if (expected == null) {
               forgets.add(new Command(Command.Op.FORGET, attempt.task(), attempt.number(), 0));
             }
-          } else if (r == null || !r.wanted()) {
-            boolean save = r != null && r.job.active() && r.job.spec().checkpointS() > 0;
-            if (!save || task.state() != TaskReport.State.SAVING) {
-              double grace = save ? r.job.spec().saveS() * 2 + 2 : 0;
-              halts.add(new Command(Command.Op.STOP, attempt.task(), attempt.number(), grace));
+          } else if (expected == null || !expected.wanted()) {
+            boolean saveFirst =
+                expected != null
+                    && expected.job.active()
+                    && expected.job.spec().checkpointS() > 0;
+            if (!saveFirst || task.state() != TaskReport.State.SAVING) {
+              double graceS = saveFirst ? expected.job.spec().saveS() * 2 + 2 : 0;
+              stops.add(new Command(Command.Op.STOP, attempt.task(), attempt.number(), graceS));
             }
           }
         });
-    List<Map.Entry<TaskAttempt, Recorded>> missing = new ArrayList<>();
-    List<TaskAttempt> absent = new ArrayList<>();
-    for (Map.Entry<TaskAttempt, Recorded> entry : recorded.entrySet()) {
-      Recorded r = entry.getValue();
-      if (!listed.containsKey(entry.getKey()) && r.placement.session() == session) {
-        if (r.wanted()) {
+    List<Map.Entry<TaskAttempt, RecordedTask>> missing = new ArrayList<>();
+    List<TaskAttempt> absentAttempts = new ArrayList<>();
+    for (Map.Entry<TaskAttempt, RecordedTask> entry : recorded.entrySet()) {
+      RecordedTask expected = entry.getValue();
+      if (!reported.containsKey(entry.getKey()) && expected.placement.session() == session) {
+        if (expected.wanted()) {
           missing.add(entry);
         } else {
-          absent.add(entry.getKey());
+          absentAttempts.add(entry.getKey());
         }
       }
     }
     missing.sort(Comparator.comparing(entry -> entry.getValue().priority()));
-    List<Command> launches = new ArrayList<>();
-    for (Map.Entry<TaskAttempt, Recorded> entry : missing) {
+    List<Command> starts = new ArrayList<>();
+    for (Map.Entry<TaskAttempt, RecordedTask> entry : missing) {
       TaskAttempt attempt = entry.getKey();
-      launches.add(new Command(Command.Op.START, attempt.task(), attempt.number(), 0));
+      starts.add(new Command(Command.Op.START, attempt.task(), attempt.number(), 0));
     }
-    Priority mostUrgent = missing.isEmpty() ? null : missing.get(0).getValue().priority();
-    return new Reconciliation(halts, launches, mostUrgent, forgets, absent);
+    Priority highestPriority = missing.isEmpty() ? null : missing.get(0).getValue().priority();
+    return new Reconciliation(stops, starts, highestPriority, forgets, absentAttempts);
   }
 
-  /** How urgent the most urgent of it is: {@link #HALTS}, then launches by priority, {@link #FORGETS}. */
+  /**
+   * The urgency of the most urgent command, lower values first: {@link #STOP_URGENCY}, then start
+   * commands by priority, then {@link #FORGET_URGENCY}.
+   */
   public int urgency() {
-    return !halts.isEmpty() ? HALTS : launches.isEmpty() ? FORGETS : 1 + mostUrgent.ordinal();
+    return !stops.isEmpty()
+        ? STOP_URGENCY
+        : starts.isEmpty() ? FORGET_URGENCY : 1 + highestPriority.ordinal();
   }
 
-  /** Without the halts that were sent lately and may still be under way. */
-  public Reconciliation without(Predicate<TaskAttempt> haltedLately) {
-    List<Command> left =
-        halts.stream()
-            .filter(halt -> !haltedLately.test(new TaskAttempt(halt.task(), halt.attempt())))
+  /** This without the stop commands that were sent recently and may still be under way. */
+  public Reconciliation withoutStops(Predicate<TaskAttempt> recentlyStopped) {
+    List<Command> remaining =
+        stops.stream()
+            .filter(stop -> !recentlyStopped.test(new TaskAttempt(stop.task(), stop.attempt())))
             .toList();
-    return new Reconciliation(left, launches, mostUrgent, forgets, absent);
+    return new Reconciliation(remaining, starts, highestPriority, forgets, absentAttempts);
   }
 }
--- a/src/main/java/io/tansystack/recovery/RecoveryContext.java
+++ b/src/main/java/io/tansystack/recovery/RecoveryContext.java
@@ -9,47 +9,54 @@
 import java.util.function.Predicate;
 
 /**
- * What a controller goes by while it knows only part of what runs.
+ * The components that a controller uses while it knows only part of what runs.
  *
- * @param owners what to make of other machines' owners
- * @param estates hands over the machines of those that are late
- * @param coverage how much of the fleet this controller has heard of since it came to plan
- * @param longest how long a start takes at most, by the workers' lease and reports
+ * @param ownerLiveness evaluates the owners of other machines
+ * @param failoverCoordinator fails over the machines of overdue owners
+ * @param fleetCoverage the part of the fleet known to this controller since it became a planner
+ * @param maxStartupTime the longest time that a startup takes, given the workers' lease and reports
  */
 public record RecoveryContext(
-    OwnerLiveness owners, FailoverCoordinator estates, FleetCoverage coverage, Duration longest) {
+    OwnerLiveness ownerLiveness,
+    FailoverCoordinator failoverCoordinator,
+    FleetCoverage fleetCoverage,
+    Duration maxStartupTime) {
 
   /**
-   * What is known of the other controllers by calling them: hints.
+   * The health of the other controllers by label, as observed from requests to them. These are
+   * hints.
    *
-   * @param unfit no worker should be sent to it
-   * @param heard it was heard of since this controller has started
-   * @param refuses its address refuses connections
-   * @param silent it has neither answered nor refused for a while
+   * @param unfit no worker should be sent to the controller
+   * @param heardFrom the controller has been heard from since this one started
+   * @param refusesConnections the controller's address refuses connections
+   * @param unresponsive the controller has neither answered nor refused connections for a while
    */
   public record PeerHealth(
       Predicate<String> unfit,
-      Predicate<String> heard,
-      Predicate<String> refuses,
-      Predicate<String> silent) {}
+      Predicate<String> heardFrom,
+      Predicate<String> refusesConnections,
+      Predicate<String> unresponsive) {}
 
-  /** @param recordLife how long a controller's record outlives its last renewal */
+  /** @param recordTtl the time for which a controller's record outlives its last renewal */
   public static RecoveryContext of(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
+      ClusterState clusterState,
       PlatformSettings settings,
       InstantSource clock,
-      Duration recordLife,
-      PeerHealth contact) {
-    Duration lease = settings.workers().lease();
-    Duration report = settings.workers().report();
-    // The owner is back or replaced within the lease, and a report to a silent one is given up on.
-    Duration longest = lease.dividedBy(2).plus(report.multipliedBy(5).dividedBy(4));
+      Duration recordTtl,
+      PeerHealth peerHealth) {
+    Duration workerLease = settings.workers().lease();
+    Duration reportInterval = settings.workers().report();
+    // Within the worker's lease its owner comes back or is replaced; the report interval allows for
+    // a report to an unresponsive owner, which the worker gives up.
+    Duration maxStartupTime =
+        workerLease.dividedBy(2).plus(reportInterval.multipliedBy(5).dividedBy(4));
     return new RecoveryContext(
-        new OwnerLiveness(loop, world, clock, recordLife, lease, report, contact),
-        new FailoverCoordinator(loop, store, world, settings.label(), contact.unfit()),
-        new FleetCoverage(longest),
-        longest);
+        new OwnerLiveness(
+            loop, clusterState, clock, recordTtl, workerLease, reportInterval, peerHealth),
+        new FailoverCoordinator(loop, store, clusterState, settings.label(), peerHealth.unfit()),
+        new FleetCoverage(maxStartupTime),
+        maxStartupTime);
   }
 }
--- a/src/main/java/io/tansystack/recovery/StartupLogger.java
+++ b/src/main/java/io/tansystack/recovery/StartupLogger.java
@@ -13,53 +13,68 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the operators how a start goes: one line when it begins, one every few seconds with what it
- * waits for, and one when this controller's machines are reconciled with the records. Nothing waits for a
- * person to read them.
+ * Logs the progress of a startup for operators: one line when it begins, one every few seconds with
+ * what it waits for, and one when this controller's machines are reconciled with the records. The
+ * lines are for information only; startup needs no action by an operator.
  */
 public final class StartupLogger {
   private static final Logger log = LoggerFactory.getLogger(StartupLogger.class);
-  private static final Duration TELL_EVERY = Duration.ofSeconds(3);
+  private static final Duration LOG_INTERVAL = Duration.ofSeconds(3);
 
   /**
-   * How far this controller's own machines are.
+   * Progress counts of this controller's own machines.
    *
-   * @param machines its machines
-   * @param heard those of them that have reported to it since it started
-   * @param waiting those that wait for their turn to be given orders
-   * @param launches orders given since it started, and so the next two
-   * @param lost tasks that were recorded on them and were gone with an earlier session of the worker
+   * @param machines the machines it owns
+   * @param reported the owned machines that have reported to it since it started
+   * @param waiting the owned machines whose commands are throttled
+   * @param starts the start commands sent since it started
+   * @param stops the stop commands sent since it started
+   * @param forgets the forget commands sent since it started
+   * @param lostTasks the tasks that were recorded on the machines and ended with an earlier session
+   *     of the worker
    */
   public record StartupCounts(
-      int machines, int heard, int waiting, long launches, long halts, long forgets, int lost) {}
+      int machines,
+      int reported,
+      int waiting,
+      long starts,
+      long stops,
+      long forgets,
+      int lostTasks) {}
 
   private final EventLoop loop;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final String label;
-  private final Duration longest;
-  private final Supplier<StartupCounts> standing;
-  private final FleetCoverage coverage;
-  private Duration began;
-  private Duration toldAt;
-  private boolean over;
+  private final Duration maxStartupTime;
+  private final Supplier<StartupCounts> counts;
+  private final FleetCoverage fleetCoverage;
+  private Duration startedAt;
+  private Duration loggedAt;
+  private boolean finished;
 
-  /** @param longest by then a start is over, whatever has not been heard of */
+  /**
+   * @param recoveryContext its {@code maxStartupTime} ends a startup even if machines are unknown
+   * @param counts returns the current progress counts
+   */
   public StartupLogger(
       EventLoop loop,
-      ClusterState world,
+      ClusterState clusterState,
       String label,
-      RecoveryContext recovery,
-      Supplier<StartupCounts> standing) {
+      RecoveryContext recoveryContext,
+      Supplier<StartupCounts> counts) {
     this.loop = loop;
-    this.world = world;
+    this.clusterState = clusterState;
     this.label = label;
-    this.longest = recovery.longest();
-    this.coverage = recovery.coverage();
-    this.standing = standing;
+    this.maxStartupTime = recoveryContext.maxStartupTime();
+    this.fleetCoverage = recoveryContext.fleetCoverage();
+    this.counts = counts;
   }
 
-  /** Tasks placed on a machine that ended with an earlier session of its worker, unseen by anybody. */
-  public static int lost(List<IndexedPlacement> placed, long session) {
+  /**
+   * The number of tasks placed on a machine that ended with an earlier session of its worker, which
+   * no controller observed.
+   */
+  public static int countLostTasks(List<IndexedPlacement> placed, long session) {
     return placed.stream()
         .map(IndexedPlacement::placement)
         .filter(placement -> placement.session() < session)
@@ -67,62 +82,68 @@
         .sum();
   }
 
-  /** To be called now and then while this controller may act. */
-  public void turn() {
-    if (over) {
+  /** Logs what is due; to be called periodically while this controller may act. */
+  public void tick() {
+    if (finished) {
       return;
     }
     Duration now = loop.now();
-    if (began == null) {
-      began = now;
-      toldAt = now;
-      over = world.machines().isEmpty();
+    if (startedAt == null) {
+      startedAt = now;
+      loggedAt = now;
+      finished = clusterState.machines().isEmpty();
       log.info(
-          "start: {} machines are recorded, {} of them this controller's, and {} jobs",
-          world.machines().size(),
-          standing.get().machines(),
-          world.jobs().size());
-      if (over) {
-        return; // There is nothing to be reconciled.
+          "start: {} machines are recorded, {} of them owned by this controller, and {} jobs",
+          clusterState.machines().size(),
+          counts.get().machines(),
+          clusterState.jobs().size());
+      if (finished) {
+        return; // There is nothing to reconcile.
       }
     }
-    StartupCounts s = standing.get();
-    Map<String, Integer> away = away();
-    boolean reconciled = s.heard == s.machines && s.waiting == 0 && away.isEmpty();
-    over = reconciled || now.minus(began).compareTo(longest) > 0;
-    if (over) {
+    StartupCounts current = counts.get();
+    Map<String, Integer> absentOwners = absentOwners();
+    boolean reconciled =
+        current.reported == current.machines && current.waiting == 0 && absentOwners.isEmpty();
+    finished = reconciled || now.minus(startedAt).compareTo(maxStartupTime) > 0;
+    if (finished) {
       log.info(
-          "start over after {} ms: {} of {} machines have reported, {} launches, {} halts, {} forgets,"
-              + " {} tasks were lost with the leases of their machines{}",
-          now.minus(began).toMillis(),
-          s.heard,
-          s.machines,
-          s.launches,
-          s.halts,
-          s.forgets,
-          s.lost,
-          reconciled ? "" : ", and it did not wait longer for " + left(s, away));
-    } else if (now.minus(toldAt).compareTo(TELL_EVERY) >= 0) {
-      toldAt = now;
-      log.info("start: waits for {}", left(s, away));
+          "start over after {} ms: {} of {} machines have reported, {} start, {} stop and {} forget"
+              + " commands were sent, {} tasks were lost with the leases of their machines{}",
+          now.minus(startedAt).toMillis(),
+          current.reported,
+          current.machines,
+          current.starts,
+          current.stops,
+          current.forgets,
+          current.lostTasks,
+          reconciled ? "" : "; no longer waiting for " + remaining(current, absentOwners));
+    } else if (now.minus(loggedAt).compareTo(LOG_INTERVAL) >= 0) {
+      loggedAt = now;
+      log.info("start: waiting for {}", remaining(current, absentOwners));
     }
   }
 
-  private String left(StartupCounts s, Map<String, Integer> away) {
+  private String remaining(StartupCounts current, Map<String, Integer> absentOwners) {
     return String.format(
-        "%d of %s's %d machines, %d machines that have orders to come, owners that are away %s,"
-            + " word of %d machines of others",
-        s.machines - s.heard, label, s.machines, s.waiting, away, coverage.unheard());
+        "reports from %d of %s's %d machines, %d machines with throttled commands,"
+            + " absent owners %s, the status of %d machines of other controllers",
+        current.machines - current.reported,
+        label,
+        current.machines,
+        current.waiting,
+        absentOwners,
+        fleetCoverage.unknownMachines());
   }
 
-  /** Owners without a record, and how many machines are theirs. */
-  private Map<String, Integer> away() {
-    Map<String, Integer> away = new TreeMap<>();
-    for (MachineRecord record : world.machines().values()) {
-      if (!world.alive(record.owner())) {
-        away.merge(record.owner(), 1, Integer::sum);
+  /** The number of machines of each owner that has no record, by the owner's label. */
+  private Map<String, Integer> absentOwners() {
+    Map<String, Integer> machineCounts = new TreeMap<>();
+    for (MachineRecord record : clusterState.machines().values()) {
+      if (!clusterState.alive(record.owner())) {
+        machineCounts.merge(record.owner(), 1, Integer::sum);
       }
     }
-    return away;
+    return machineCounts;
   }
 }
--- a/src/main/java/io/tansystack/recovery/TaskAttempt.java
+++ b/src/main/java/io/tansystack/recovery/TaskAttempt.java
@@ -2,7 +2,10 @@
 
 import io.tansystack.wire.TaskId;
 
-/** A task's attempt on one machine. A key written out for the reason given in {@link TaskId}. */
+/**
+ * An attempt of a task on one machine. Used as a map key; {@code equals} and {@code hashCode} are
+ * written out for the reason given in {@link TaskId}.
+ */
 public record TaskAttempt(TaskId task, long number) {
   @Override
   public boolean equals(Object other) {
--- a/src/main/java/io/tansystack/workers/CancellationTracker.java
+++ b/src/main/java/io/tansystack/workers/CancellationTracker.java
@@ -83,14 +83,14 @@
     boolean left = false;
     for (IndexedPlacement placed :
         since.isEmpty() ? List.<IndexedPlacement>of() : world.placedOn(machine.name)) {
-      Duration at = since.get(placed.id());
+      Duration at = since.get(placed.jobId());
       Placement placement = placed.placement();
       // A later session than the placement's proves that it is over.
       left |=
           at != null
-              && !lease.within(at)
+              && !lease.isRecent(at)
               && placement.session() == report.session()
-              && (!quiet || lists(report, placed.id(), placement.attempt()));
+              && (!quiet || lists(report, placed.jobId(), placement.attempt()));
     }
     if (left && !machine.leftToItsLease) {
       log.warn(
--- a/src/main/java/io/tansystack/workers/ClaimBatcher.java
+++ b/src/main/java/io/tansystack/workers/ClaimBatcher.java
@@ -91,14 +91,14 @@
   }
 
   private void together(List<Claim> lot) {
-    String key = ClusterState.lotKey(boot + "-" + counter++);
+    String key = ClusterState.claimBatchKey(boot + "-" + counter++);
     List<Condition> conditions = new ArrayList<>();
     conditions.add(new Condition(key, 0));
     lot.forEach(claim -> conditions.add(claim.unclaimed()));
     commit(
         lot,
         conditions,
-        new Write(key, ClusterState.lot(lot.stream().map(Claim::record).toList()), 0),
+        new Write(key, ClusterState.claimBatch(lot.stream().map(Claim::record).toList()), 0),
         (result, revision) -> {
           if (result == CommitResult.CONFLICT) {
             // One of them was claimed by another; the rest need not suffer for it.
--- a/src/main/java/io/tansystack/workers/CommandSender.java
+++ b/src/main/java/io/tansystack/workers/CommandSender.java
@@ -80,7 +80,7 @@
    */
   static List<MachineView.AbsentAttempt> voids(Reconciliation difference) {
     List<MachineView.AbsentAttempt> voids = new ArrayList<>();
-    for (TaskAttempt a : difference.absent()) {
+    for (TaskAttempt a : difference.absentAttempts()) {
       voids.add(new MachineView.AbsentAttempt(a.task().job(), a.task().index(), a.number()));
     }
     return voids;
@@ -90,29 +90,29 @@
   void tend(OwnedMachine machine, Reconciliation difference, long token, Duration now) {
     machine.halted.keySet().retainAll(machine.listed.keySet());
     Reconciliation wanted =
-        difference.without(
+        difference.withoutStops(
             attempt -> {
               Duration haltedAt = machine.halted.get(attempt);
               return haltedAt != null && now.minus(haltedAt).compareTo(HALT_AGAIN) < 0;
             });
-    boolean forgetsOnly = wanted.halts().isEmpty() && wanted.launches().isEmpty();
+    boolean forgetsOnly = wanted.stops().isEmpty() && wanted.starts().isEmpty();
     machine.settled =
-        forgetsOnly && wanted.forgets().isEmpty() && difference.halts().isEmpty();
+        forgetsOnly && wanted.forgets().isEmpty() && difference.stops().isEmpty();
     if (forgetsOnly
         && (wanted.forgets().isEmpty()
             || (wanted.forgets().size() < MANY_FORGETS && now.compareTo(machine.forgetAt) < 0))) {
       return; // Where tasks end, others start soon: what is to be forgotten goes with the launches.
     }
-    List<Command> commands = new ArrayList<>(wanted.halts());
-    commands.addAll(wanted.launches());
-    if (forgetsOnly || pace.waiting() == 0) {
+    List<Command> commands = new ArrayList<>(wanted.stops());
+    commands.addAll(wanted.starts());
+    if (forgetsOnly || pace.waitingMachines() == 0) {
       commands.addAll(wanted.forgets());
     }
     if (commands.size() > MAX_COMMANDS) {
       commands = commands.subList(0, MAX_COMMANDS);
     }
-    if (pace.mayGo(machine.name, wanted.urgency(), commands.size())) {
-      wanted.halts().forEach(h -> machine.halted.put(new TaskAttempt(h.task(), h.attempt()), now));
+    if (pace.admit(machine.name, wanted.urgency(), commands.size())) {
+      wanted.stops().forEach(h -> machine.halted.put(new TaskAttempt(h.task(), h.attempt()), now));
       machine.forgetAt = now.plus(FORGET_WAIT);
       send(machine, token, machine.latest.session(), commands);
     }
@@ -123,7 +123,7 @@
    * it has: what was sent under an earlier token could still be carried out. Stopping is right at any time.
    */
   void stop(OwnedMachine machine, long token) {
-    List<Command> halts = difference(machine).halts().stream().limit(MAX_COMMANDS).toList();
+    List<Command> halts = difference(machine).stops().stream().limit(MAX_COMMANDS).toList();
     send(machine, token, machine.latest.session(), halts);
   }
 
--- a/src/main/java/io/tansystack/workers/MachineClaims.java
+++ b/src/main/java/io/tansystack/workers/MachineClaims.java
@@ -113,8 +113,8 @@
     Verdict verdict = verdict(record);
     if (verdict == Verdict.LATE) {
       recovery
-          .estates()
-          .handOver(record, record.owner() + " is late and its workers come here");
+          .failoverCoordinator()
+          .failOver(record, record.owner() + " is late and its workers come here");
     } else if (verdict != Verdict.AWAITED) {
       return false;
     }
@@ -125,7 +125,7 @@
   private Verdict verdict(MachineRecord record) {
     return record.owner().equals(label)
         ? Verdict.AWAITED
-        : recovery.owners().verdict(record.owner());
+        : recovery.ownerLiveness().verdict(record.owner());
   }
 
   /**
@@ -135,7 +135,7 @@
    */
   void claimOrRedirect(MachineRecord record, Report report, Reply reply) {
     Duration now = loop.now();
-    if (record == null && report.session() <= FIRST && world.wasMachine(report.machine())) {
+    if (record == null && report.session() <= FIRST && world.isGoneMachine(report.machine())) {
       // A machine counts as gone once its session is over, so this is a late copy of what it said before.
       reply.send(503, Cbor.encode(Responses.error("the machine is gone")), COME_AGAIN_S);
       return;
@@ -312,8 +312,8 @@
 
   /** Finds a new owner for a machine whose owner has ended, if that one is late. */
   void adopt(MachineRecord orphan) {
-    if (recovery.owners().verdict(orphan.owner()) == Verdict.LATE) {
-      recovery.estates().handOver(orphan, orphan.owner() + " is late and has machines");
+    if (recovery.ownerLiveness().verdict(orphan.owner()) == Verdict.LATE) {
+      recovery.failoverCoordinator().failOver(orphan, orphan.owner() + " is late and has machines");
     }
   }
 }
--- a/src/main/java/io/tansystack/workers/OwnedMachines.java
+++ b/src/main/java/io/tansystack/workers/OwnedMachines.java
@@ -84,12 +84,12 @@
   private long heldSince(MachineRecord record) {
     return record.claimant().equals(label)
         ? world.controllers().get(label).version()
-        : record.since();
+        : record.ownedSince();
   }
 
   /** A former owner whose copy of the records ended just now may act until then. */
   private Duration formerUntil(Duration now) {
-    return now.plus(lease.life());
+    return now.plus(lease.leaseDuration());
   }
 
   void remove(String name) {
--- a/src/main/java/io/tansystack/workers/WorkerLeaseMonitor.java
+++ b/src/main/java/io/tansystack/workers/WorkerLeaseMonitor.java
@@ -71,8 +71,8 @@
     machine.claiming = true;
     machine.goneVersion = record.version();
     store.commitUrgent(
-        OwnershipConditions.held(world, record, label),
-        List.of(world.gone(machine.name)),
+        OwnershipConditions.stillOwnedBy(world, record, label),
+        List.of(world.deletion(machine.name)),
         Duration.ofSeconds(2),
         (result, revision) -> {
           machine.claiming = false;
--- a/src/main/java/io/tansystack/workers/WorkerManager.java
+++ b/src/main/java/io/tansystack/workers/WorkerManager.java
@@ -97,7 +97,7 @@
         new MachineClaims(
             loop, store, world, label, boot, zone, writesPerSecond, unfit, recovery,
             this::usable, this::accept);
-    this.longestStart = recovery.longest();
+    this.longestStart = recovery.maxStartupTime();
     this.pace = new CommandThrottle(loop, this::tendIfOwned);
     this.orders =
         new CommandSender(loop, caller, world, pace, this::take, m -> tendIfOwned(m.name));
@@ -186,7 +186,7 @@
       }
       machine.answered(report, token, now);
       if (machine.latest == null) {
-        lost += StartupLogger.lost(world.placedOn(record.name()), report.session());
+        lost += StartupLogger.countLostTasks(world.placedOn(record.name()), report.session());
       }
       reply.send(200, machine.answer(token));
     }
@@ -203,7 +203,7 @@
     return new StartupLogger.StartupCounts(
         machines.size(),
         heard,
-        pace.waiting(),
+        pace.waitingMachines(),
         orders.sent(Command.Op.START),
         orders.sent(Command.Op.STOP),
         orders.sent(Command.Op.FORGET),
@@ -243,10 +243,10 @@
   public void worldChanged(ClusterStateDelta touched) {
     cancelled.worldChanged(touched);
     claims.worldChanged();
-    if (touched.controllers() && world.alive(label, boot) && machines.isEmpty()) {
+    if (touched.controllersChanged() && world.alive(label, boot) && machines.isEmpty()) {
       timeAll();
     }
-    for (String name : Sets.union(touched.machines(), touched.placedOn())) {
+    for (String name : Sets.union(touched.machines(), touched.placementsChangedOn())) {
       MachineRecord record = world.machine(name);
       // Ours by a claim whose answer was lost, or adopted: its silence has to be timed too.
       OwnedMachine machine = mine(record) ? machines.of(record) : machines.get(name);
@@ -267,7 +267,7 @@
     for (MachineRecord record : world.machines().values()) {
       if (mine(record)) {
         machines.of(record);
-        usual += CommandThrottle.usual(world.placedOn(record.name()));
+        usual += CommandThrottle.expectedRate(world.placedOn(record.name()));
       }
     }
     if (usual > 0) {
--- a/src/test/java/io/tansystack/cluster/ChangeSequences.java
+++ b/src/test/java/io/tansystack/cluster/ChangeSequences.java
@@ -6,22 +6,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Changes of records in the order in which they happened, for tests that walk through what may happen. */
+/** Helpers for tests that explore all possible sequences of record changes. */
 final class ChangeSequences {
   private ChangeSequences() {}
 
-  /** The copy of a controller that has seen all of it. */
-  static ClusterState copy(List<Change> history) {
-    ClusterState world = new ClusterState(touched -> {});
-    world.changes(history, revision(history));
-    return world;
+  /** The cluster state of a controller that has received the whole history. */
+  static ClusterState clusterState(List<Change> history) {
+    ClusterState clusterState = new ClusterState(delta -> {});
+    clusterState.changes(history, revision(history));
+    return clusterState;
   }
 
   static long revision(List<Change> history) {
     return history.isEmpty() ? 0 : history.get(history.size() - 1).version();
   }
 
-  /** The keys that are there at the end of a history. */
+  /** The last change of each key that exists at the end of a history. */
   static Map<String, Change> present(List<Change> history) {
     Map<String, Change> present = new HashMap<>();
     for (Change change : history) {
--- a/src/test/java/io/tansystack/cluster/FailoverRecordTest.java
+++ b/src/test/java/io/tansystack/cluster/FailoverRecordTest.java
@@ -15,25 +15,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Who owns a machine, walked through: two controllers that register, end, claim it, name heirs for each
- * other and declare it gone, each step decided from a copy of any age, that is, delayed for as long as
- * one likes, to six steps from nothing and from a machine that is owned.
+ * Explores all histories in which two controllers register, end, claim a machine, fail over each
+ * other's machines and declare it gone, in up to six steps from an empty state and from an owned
+ * machine. Each step is decided from a cluster state of any age, that is, its transaction is
+ * delayed arbitrarily. Guards against two owners with the same fencing token and against a machine
+ * being declared gone by a controller that doesn't own it.
  */
 class FailoverRecordTest {
   private static final int DEPTH = 6;
-  private static final String M = "n-1";
+  private static final String MACHINE = "n-1";
   private static final List<String> LABELS = List.of("c", "d");
 
-  /** What is asked of the state service at once. */
+  /** A transaction of the state service. */
   private record Txn(String kind, List<Condition> conditions, List<Write> writes) {}
 
-  /** Who may give commands, and under which token. */
+  /** The controller that may send commands, and its fencing token. */
   private record Grant(String owner, long token) {}
 
   private int depth = DEPTH;
   private final Set<List<Change>> seen = new HashSet<>();
   private int histories;
-  private int handedOver;
+  private int failedOver;
   private int declaredGone;
   private int takenBack;
 
@@ -41,62 +43,64 @@
     return history.stream().filter(change -> change.version() <= revision).toList();
   }
 
-  private static Condition unchanged(ClusterState copy) {
-    MachineRecord record = copy.machine(M);
-    return record == null ? new Condition(ClusterState.machineKey(M), 0) : record.condition();
+  private static Condition unchanged(ClusterState clusterState) {
+    MachineRecord record = clusterState.machine(MACHINE);
+    return record == null ? new Condition(ClusterState.machineKey(MACHINE), 0) : record.condition();
   }
 
-  /** What a controller asks for that has this copy; it may have ended meanwhile. */
-  private static List<Txn> possible(ClusterState copy, String me) {
+  /**
+   * The transactions that a controller with this cluster state may send; it may have ended since.
+   */
+  private static List<Txn> possibleTransactions(ClusterState clusterState, String label) {
     List<Txn> txns = new ArrayList<>();
     txns.add(
         new Txn(
-            "registers " + me,
+            "registers " + label,
             List.of(),
-            OwnershipConditions.registration(me, me, "a", 0)));
-    if (!copy.alive(me)) {
+            OwnershipConditions.registration(label, label, "a", 0)));
+    if (!clusterState.alive(label)) {
       return txns;
     }
     MachineRecord claimed =
-        new MachineRecord(M, me, "127.0.0.1:1", "g8", "a", false, false, 0, false);
+        new MachineRecord(MACHINE, label, "127.0.0.1:1", "g8", "a", false, false, 0, false);
     txns.add(
         new Txn(
             "claims",
-            List.of(unchanged(copy)),
-            List.of(new Write(ClusterState.machineKey(M), claimed.write(), 0))));
-    MachineRecord record = copy.machine(M);
+            List.of(unchanged(clusterState)),
+            List.of(new Write(ClusterState.machineKey(MACHINE), claimed.write(), 0))));
+    MachineRecord record = clusterState.machine(MACHINE);
     if (record == null) {
       return txns;
     }
-    if (record.owner().equals(me)) {
+    if (record.owner().equals(label)) {
       txns.add(
           new Txn(
               "gone",
-              OwnershipConditions.held(copy, record, me),
-              List.of(copy.gone(M))));
-    } else if (!copy.alive(record.owner())) {
+              OwnershipConditions.stillOwnedBy(clusterState, record, label),
+              List.of(clusterState.deletion(MACHINE))));
+    } else if (!clusterState.alive(record.owner())) {
       txns.add(
           new Txn(
-              "heir of " + record.claimant(),
-              OwnershipConditions.left(copy, record, me),
+              "failover of " + record.claimant(),
+              OwnershipConditions.failoverAllowed(clusterState, record, label),
               List.of(
                   new Write(
-                      ClusterState.heirsKey(record.claimant()),
-                      FailoverRecord.write(Map.of(FailoverRecord.ELSEWHERE, List.of(me))),
+                      ClusterState.failoverKey(record.claimant()),
+                      FailoverRecord.write(Map.of(FailoverRecord.OTHER_ZONES, List.of(label))),
                       0))));
     }
     return txns;
   }
 
   private static Grant grant(List<Change> history) {
-    ClusterState world = ChangeSequences.copy(history);
-    MachineRecord record = world.machine(M);
-    return record != null && world.alive(record.owner())
-        ? new Grant(record.owner(), world.token(record))
+    ClusterState clusterState = ChangeSequences.clusterState(history);
+    MachineRecord record = clusterState.machine(MACHINE);
+    return record != null && clusterState.alive(record.owner())
+        ? new Grant(record.owner(), clusterState.token(record))
         : null;
   }
 
-  private void walk(List<Change> history) {
+  private void explore(List<Change> history) {
     histories++;
     long revision = ChangeSequences.revision(history);
     if (revision == depth) {
@@ -114,7 +118,9 @@
                 List.of(new Write(ClusterState.controllerKey(label), null, 0))));
       }
       for (long age = 0; age <= revision; age++) {
-        for (Txn txn : possible(ChangeSequences.copy(upTo(history, revision - age)), label)) {
+        for (Txn txn :
+            possibleTransactions(
+                ChangeSequences.clusterState(upTo(history, revision - age)), label)) {
           boolean holds =
               txn.conditions.stream().allMatch(c -> ChangeSequences.holds(c, present));
           if (holds) {
@@ -137,36 +143,43 @@
       declaredGone++;
       Grant decided = grant(upTo(history, revision - 1 - age));
       for (long r = revision - 1 - age; r < revision; r++) {
-        assertEquals(decided, grant(upTo(history, r)), "somebody else held it meanwhile: " + next);
+        assertEquals(decided, grant(upTo(history, r)), "another owned it meanwhile: " + next);
       }
     }
-    MachineRecord record = ChangeSequences.copy(next).machine(M);
+    MachineRecord record = ChangeSequences.clusterState(next).machine(MACHINE);
     if (record != null && txn.kind.equals("registers " + record.claimant())) {
       takenBack += before == null || !before.owner.equals(record.claimant()) ? 1 : 0;
-      assertEquals(record.claimant(), record.owner(), "back with its claimant: " + next);
+      assertEquals(record.claimant(), record.owner(), "owned by its claimant again: " + next);
     }
-    if (txn.kind.startsWith("heir of ")) {
-      String claimant = txn.kind.substring("heir of ".length());
+    if (txn.kind.startsWith("failover of ")) {
+      String claimant = txn.kind.substring("failover of ".length());
       assertFalse(
-          ChangeSequences.copy(history).alive(claimant), "taken from one that is back: " + next);
+          ChangeSequences.clusterState(history).alive(claimant),
+          "taken from a controller that is back: " + next);
     }
     Grant after = grant(next);
     if (after != null && !after.equals(before)) {
-      handedOver += txn.kind.startsWith("heir of ") ? 1 : 0;
+      failedOver += txn.kind.startsWith("failover of ") ? 1 : 0;
       for (long r = 0; r < revision; r++) {
         Grant earlier = grant(upTo(history, r));
         assertTrue(
             earlier == null || earlier.token < after.token,
-            txn.kind + ": commands of " + earlier + " would count beside those of " + after + ": " + next);
+            txn.kind
+                + ": commands of "
+                + earlier
+                + " would be valid together with those of "
+                + after
+                + ": "
+                + next);
       }
     }
-    walk(next);
+    explore(next);
   }
 
   @Test
-  void ownersNeverShareATokenAndNobodyDeclaresAnothersMachineGone() {
-    walk(List.of());
-    // And on from where both have registered and one has claimed it.
+  void ownersNeverShareATokenAndOnlyTheOwnerDeclaresAMachineGone() {
+    explore(List.of());
+    // The same from a state in which both have registered and one has claimed the machine.
     List<Change> from = new ArrayList<>();
     for (String label : LABELS) {
       long revision = ChangeSequences.revision(from) + 1;
@@ -174,39 +187,40 @@
           .forEach(w -> from.add(new Change(w.key(), w.value(), revision)));
     }
     MachineRecord claimed =
-        new MachineRecord(M, "c", "127.0.0.1:1", "g8", "a", false, false, 0, false);
-    from.add(new Change(ClusterState.machineKey(M), claimed.write(), 3));
+        new MachineRecord(MACHINE, "c", "127.0.0.1:1", "g8", "a", false, false, 0, false);
+    from.add(new Change(ClusterState.machineKey(MACHINE), claimed.write(), 3));
     depth = 3 + DEPTH;
-    walk(from);
+    explore(from);
     assertTrue(histories > 3000, histories + " histories");
-    assertTrue(handedOver > 50, handedOver + " handed over");
+    assertTrue(failedOver > 50, failedOver + " failed over");
     assertTrue(declaredGone > 50, declaredGone + " declared gone");
     assertTrue(takenBack > 50, takenBack + " taken back");
   }
 
   @Test
-  void heirsAreOfTheMachinesZoneWhereTheyCanBe() throws Exception {
-    FailoverRecord heirs =
+  void successorsAreInTheMachinesZoneWherePossible() throws Exception {
+    FailoverRecord failover =
         FailoverRecord.read(
             FailoverRecord.write(
                 Map.of(
                     "a", List.of("c"),
                     "b", List.of("d", "e"),
-                    FailoverRecord.ELSEWHERE, List.of("f"))),
+                    FailoverRecord.OTHER_ZONES, List.of("f"))),
             9);
-    Set<String> ofB = new HashSet<>();
+    Set<String> successorsInB = new HashSet<>();
     for (int i = 0; i < 50; i++) {
       String name = "n-" + i;
       MachineRecord a = new MachineRecord(name, "x", "h:1", "t", "a", false, false, 8, false);
       MachineRecord b = new MachineRecord(name, "x", "h:1", "t", "b", false, false, 8, true);
       MachineRecord z = new MachineRecord(name, "x", "h:1", "t", "z", false, false, 8, false);
-      assertEquals("c", heirs.applied(a).owner());
-      assertEquals(9, heirs.applied(a).since());
-      assertEquals("f", heirs.applied(z).owner());
-      ofB.add(heirs.applied(b).owner());
-      MachineRecord since = new MachineRecord(name, "x", "h:1", "t", "a", false, false, 10, false);
-      assertEquals(since, heirs.applied(since), "claimed since");
+      assertEquals("c", failover.applyTo(a).owner());
+      assertEquals(9, failover.applyTo(a).ownedSince());
+      assertEquals("f", failover.applyTo(z).owner());
+      successorsInB.add(failover.applyTo(b).owner());
+      MachineRecord claimedLater =
+          new MachineRecord(name, "x", "h:1", "t", "a", false, false, 10, false);
+      assertEquals(claimedLater, failover.applyTo(claimedLater), "claimed since");
     }
-    assertEquals(Set.of("d", "e"), ofB, "spread over those of the zone");
+    assertEquals(Set.of("d", "e"), successorsInB, "spread over the controllers of the zone");
   }
 }
