--- a/src/test/java/io/tansystack/cluster/MachineRegistryTest.java
+++ b/src/test/java/io/tansystack/cluster/MachineRegistryTest.java
@@ -17,16 +17,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The claim of a machine, walked through: two claimants with lots and single claims, deletions by lease
- * and by the cloud, removals of what is needless, each decided from a copy of any age, that is, each
- * delayed for as long as one likes; and a copy loaded in two pages of different age after each step.
+ * Explores all histories of up to six steps in which two controllers claim machines in batches and
+ * individually, declare them gone, and delete obsolete records. Each step is decided from a cluster
+ * state of any age, that is, its transaction is delayed arbitrarily; after each step a cluster
+ * state is also loaded from two pages of different age. Guards against a recorded machine being
+ * taken for gone or for unchanged, and against a batch claim that overrides an earlier claim.
  */
 class MachineRegistryTest {
   private static final int DEPTH = 6;
-  private static final String M = "n-1";
-  private static final String N = "n-2";
+  private static final String MACHINE = "n-1";
+  private static final String OTHER_MACHINE = "n-2";
 
-  /** What happens, as one transaction. */
+  /**
+   * A transaction of the state service.
+   *
+   * @param kind "lot" (claim of a batch), "claim" (of one machine), "gone" and the machine's name,
+   *     or "removal" (of an obsolete record)
+   */
   private record Txn(String kind, List<Condition> conditions, Write write) {}
 
   private final Set<List<Change>> seen = new HashSet<>();
@@ -37,16 +44,16 @@
     return new MachineRecord(name, owner, "127.0.0.1:1", "g8", "a", false, false, 0, false);
   }
 
-  /** All that a controller with this copy may ask for. */
-  private static List<Txn> possible(ClusterState copy) {
+  /** All transactions that a controller with this cluster state may send. */
+  private static List<Txn> possibleTransactions(ClusterState clusterState) {
     List<Txn> txns = new ArrayList<>();
     for (String owner : List.of("c", "d")) {
-      if (copy.machine(M) == null && copy.machineVersion(M) == 0) {
+      if (clusterState.machine(MACHINE) == null && clusterState.machineVersion(MACHINE) == 0) {
         List<Condition> conditions = new ArrayList<>();
-        conditions.add(new Condition(ClusterState.lotKey(owner), 0));
+        conditions.add(new Condition(ClusterState.claimBatchKey(owner), 0));
         List<MachineRecord> records = new ArrayList<>();
-        for (String name : List.of(M, N)) {
-          if (copy.machine(name) == null && copy.machineVersion(name) == 0) {
+        for (String name : List.of(MACHINE, OTHER_MACHINE)) {
+          if (clusterState.machine(name) == null && clusterState.machineVersion(name) == 0) {
             conditions.add(new Condition(ClusterState.machineKey(name), 0));
             records.add(claimed(name, owner));
           }
@@ -55,40 +62,43 @@
             new Txn(
                 "lot",
                 conditions,
-                new Write(ClusterState.lotKey(owner), ClusterState.lot(records), 0)));
+                new Write(ClusterState.claimBatchKey(owner), ClusterState.claimBatch(records), 0)));
       }
-      MachineRecord record = copy.machine(M);
+      MachineRecord record = clusterState.machine(MACHINE);
       Condition unchanged =
           record == null
-              ? new Condition(ClusterState.machineKey(M), copy.machineVersion(M))
+              ? new Condition(
+                  ClusterState.machineKey(MACHINE), clusterState.machineVersion(MACHINE))
               : record.condition();
       txns.add(
           new Txn(
               "claim",
               List.of(unchanged),
-              new Write(ClusterState.machineKey(M), claimed(M, owner).write(), 0)));
+              new Write(ClusterState.machineKey(MACHINE), claimed(MACHINE, owner).write(), 0)));
     }
-    for (String name : List.of(M, N)) {
-      MachineRecord record = copy.machine(name);
+    for (String name : List.of(MACHINE, OTHER_MACHINE)) {
+      MachineRecord record = clusterState.machine(name);
       if (record != null) {
-        txns.add(new Txn("gone" + name, List.of(record.condition()), copy.gone(name)));
+        txns.add(new Txn("gone" + name, List.of(record.condition()), clusterState.deletion(name)));
       }
     }
-    for (Condition needless : copy.needless()) {
-      txns.add(new Txn("removal", List.of(needless), new Write(needless.key(), null, 0)));
+    for (Condition obsolete : clusterState.obsoleteRecords()) {
+      txns.add(new Txn("removal", List.of(obsolete), new Write(obsolete.key(), null, 0)));
     }
     return txns;
   }
 
-  private void walk(List<Change> history) {
+  private void explore(List<Change> history) {
     histories++;
-    invariants(history);
+    checkInvariants(history);
     if (history.size() == DEPTH) {
       return;
     }
     Map<String, Change> present = ChangeSequences.present(history);
     for (int age = 0; age <= history.size(); age++) {
-      for (Txn txn : possible(ChangeSequences.copy(history.subList(0, history.size() - age)))) {
+      for (Txn txn :
+          possibleTransactions(
+              ChangeSequences.clusterState(history.subList(0, history.size() - age)))) {
         boolean reused =
             txn.kind.equals("lot")
                 && history.stream().anyMatch(c -> c.key().equals(txn.write.key()));
@@ -101,54 +111,58 @@
         List<Change> next = new ArrayList<>(history);
         next.add(new Change(txn.write.key(), txn.write.value(), history.size() + 1));
         if (seen.add(next)) {
-          step(txn.kind, history, next);
-          walk(next);
+          checkStep(txn.kind, history, next);
+          explore(next);
         }
       }
     }
   }
 
-  private void step(String kind, List<Change> history, List<Change> next) {
-    ClusterState before = ChangeSequences.copy(history);
-    ClusterState after = ChangeSequences.copy(next);
+  private void checkStep(String kind, List<Change> history, List<Change> next) {
+    ClusterState before = ChangeSequences.clusterState(history);
+    ClusterState after = ChangeSequences.clusterState(next);
     String what = kind + " after " + history;
     switch (kind) {
       case "removal" -> {
         removals++;
-        assertEquals(before.machine(M), after.machine(M), what);
-        assertEquals(before.machine(N), after.machine(N), what);
+        assertEquals(before.machine(MACHINE), after.machine(MACHINE), what);
+        assertEquals(before.machine(OTHER_MACHINE), after.machine(OTHER_MACHINE), what);
       }
       case "lot" -> {
-        assertNotNull(after.machine(M), what);
-        if (before.machine(M) != null) {
-          assertEquals(before.machine(M), after.machine(M), "the earlier counts: " + what);
+        assertNotNull(after.machine(MACHINE), what);
+        if (before.machine(MACHINE) != null) {
+          assertEquals(
+              before.machine(MACHINE),
+              after.machine(MACHINE),
+              "the earlier claim applies: " + what);
         }
       }
       case "claim" -> {
-        assertNotNull(after.machine(M), what);
-        assertTrue(after.machine(M).version() == next.size(), "a higher token: " + what);
+        assertNotNull(after.machine(MACHINE), what);
+        assertTrue(after.machine(MACHINE).version() == next.size(), "a higher token: " + what);
       }
       default -> {
         String gone = kind.substring("gone".length());
-        String other = gone.equals(M) ? N : M;
+        String other = gone.equals(MACHINE) ? OTHER_MACHINE : MACHINE;
         assertNull(after.machine(gone), what);
         assertEquals(before.machine(other), after.machine(other), what);
       }
     }
   }
 
-  private void invariants(List<Change> history) {
+  private void checkInvariants(List<Change> history) {
     Map<String, Change> present = ChangeSequences.present(history);
-    ClusterState now = ChangeSequences.copy(history);
-    List<MachineRecord> counted = new ArrayList<>();
+    ClusterState now = ChangeSequences.clusterState(history);
+    List<MachineRecord> effective = new ArrayList<>();
     for (int r = 0; r <= history.size(); r++) {
-      counted.add(ChangeSequences.copy(history.subList(0, r)).machine(M));
+      effective.add(ChangeSequences.clusterState(history.subList(0, r)).machine(MACHINE));
     }
     for (int r = 0; r <= history.size(); r++) {
-      MachineRecord then = counted.get(r);
-      boolean throughout = counted.subList(r, counted.size()).stream().allMatch(Objects::nonNull);
+      MachineRecord then = effective.get(r);
+      boolean throughout =
+          effective.subList(r, effective.size()).stream().allMatch(Objects::nonNull);
       if (then != null && throughout && ChangeSequences.holds(then.condition(), present)) {
-        assertEquals(then, now.machine(M), "nothing has happened to it since " + r + ": " + history);
+        assertEquals(then, now.machine(MACHINE), "unchanged since " + r + ": " + history);
       }
       Map<String, Change> early = ChangeSequences.present(history.subList(0, r));
       for (int late = r; late <= history.size(); late++) {
@@ -157,18 +171,24 @@
         ChangeSequences.present(history.subList(0, late)).values().stream()
             .filter(c -> c.key().contains("machines/"))
             .forEach(pages::add);
-        ClusterState loaded = new ClusterState(touched -> {});
+        ClusterState loaded = new ClusterState(delta -> {});
         loaded.snapshot(pages, history.subList(r, late), late);
-        assertEquals(counted.get(late), loaded.machine(M), "pages of " + r + " and " + late + " of " + history);
+        assertEquals(
+            effective.get(late),
+            loaded.machine(MACHINE),
+            "pages of " + r + " and " + late + " of " + history);
         loaded.changes(history.subList(late, history.size()), history.size());
-        assertEquals(now.machine(M), loaded.machine(M), "after pages of " + r + " and " + late);
+        assertEquals(
+            now.machine(MACHINE),
+            loaded.machine(MACHINE),
+            "after pages of " + r + " and " + late);
       }
     }
   }
 
   @Test
-  void neitherDelayNorOrderMakesAMachineSeemGone() {
-    walk(List.of());
+  void delaysAndOrderNeverMakeAMachineSeemGone() {
+    explore(List.of());
     assertTrue(histories > 1000, histories + " histories");
     assertTrue(removals > 10, removals + " removals");
   }
--- a/src/test/java/io/tansystack/cluster/PlannerElectionTest.java
+++ b/src/test/java/io/tansystack/cluster/PlannerElectionTest.java
@@ -9,10 +9,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Checks which controllers plan: all of a few on a small fleet, else the one that registered first,
+ * so that the return of a controller moves no work.
+ */
 class PlannerElectionTest {
   /**
-   * Each live controller is given as label, zone and version of its record; the fleet by how many machines
-   * there are and whether one controller holds all slots.
+   * Each live controller is given as label, zone and version of its record; the fleet as the number
+   * of machines and whether one controller holds all slots.
    */
   @ParameterizedTest
   @CsvSource(
@@ -32,16 +36,17 @@
           3 | c-0 a 9, c-1 a 6, c-2 b 7                   | 74 yes   | c-1 c-2 c-0
           3 | c-0 a 9                                     | 2200 yes | c-0
           """)
-  void theOldestSoThatAReturnMovesNoWork(int size, String live, String fleet, String expected) {
+  void choosesTheControllersThatRegisteredFirst(
+      int controllerCount, String liveControllers, String fleet, String expected) {
     Map<String, ControllerRecord> records = new TreeMap<>();
-    for (String one : live.split(", ")) {
-      String[] parts = one.trim().split(" ");
+    for (String controller : liveControllers.split(", ")) {
+      String[] parts = controller.trim().split(" ");
       records.put(parts[0], new ControllerRecord("boot", parts[1], Long.parseLong(parts[2])));
     }
     String[] cluster = fleet.trim().split(" ");
     assertEquals(
         List.of(expected.trim().split(" ")),
         PlannerElection.choose(
-            records, size, Integer.parseInt(cluster[0]), cluster[1].equals("yes")));
+            records, controllerCount, Integer.parseInt(cluster[0]), cluster[1].equals("yes")));
   }
 }
--- a/src/test/java/io/tansystack/cluster/SubmissionBatchesTest.java
+++ b/src/test/java/io/tansystack/cluster/SubmissionBatchesTest.java
@@ -15,12 +15,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What stands for a job that several records tell of, in every order in which they may be seen. */
+/**
+ * Checks which record applies to a job that several submission batches and an individual record
+ * name, in every order in which the records may arrive.
+ */
 class SubmissionBatchesTest {
   private static final String ID = "wk-000001";
 
-  /** The number of tasks tells which description it is. */
-  private static JobRecord described(String id, int tasks) {
+  /** A newly accepted job; the number of tasks identifies the submitted spec. */
+  private static JobRecord createdRecord(String id, int tasks) {
     JobSpec spec =
         new JobSpec(
             id, "c", "t", JobKind.ARRAY, Priority.LOW, tasks, 1, 0, 1, "i", 1, null, null, false,
@@ -29,64 +32,67 @@
   }
 
   /**
-   * A change: {@code in4@7} an intake of the job with four tasks (and of another job) at revision 7,
-   * {@code own} a record of its own as accepted, {@code put} as placed, {@code end} as over, {@code del}
-   * the removal of the intake of that number of tasks.
+   * A change of a record: {@code in_4@7} is a submission batch with the job, of 4 tasks, at
+   * revision 7; {@code own} is the job's individual record as accepted, {@code put} as placed,
+   * {@code end} as finished; {@code del} deletes the submission batch with the job of that number
+   * of tasks.
    */
   private static Change change(String text) {
     int tasks = Integer.parseInt(text.substring(3, text.indexOf('@')));
     long version = Long.parseLong(text.substring(text.indexOf('@') + 1));
-    JobRecord record = described(ID, tasks);
-    String intake = ClusterState.intakeKey("x-" + tasks);
+    JobRecord record = createdRecord(ID, tasks);
+    String batchKey = ClusterState.submissionBatchKey("x-" + tasks);
     ObjectNode value =
         switch (text.substring(0, 3)) {
           case "own" -> record.write();
           case "put" ->
               record.placed(List.of(new JobRecord.Assignment("n-1", 1, TaskSet.range(0, 1)))).write();
           case "end" -> record.cancelled(1).write();
-          default -> ClusterState.intake(List.of(record));
+          default -> ClusterState.submissionBatch(List.of(record));
         };
     return switch (text.substring(0, 3)) {
-      case "in_" -> new Change(intake, value, version);
-      case "del" -> new Change(intake, null, version);
+      case "in_" -> new Change(batchKey, value, version);
+      case "del" -> new Change(batchKey, null, version);
       default -> new Change(ClusterState.jobKey(ID), value, version);
     };
   }
 
   @ParameterizedTest
   @CsvSource({
-    // changes, tasks of what stands (0: over, -: unknown), version of its own key, intakes not needed
+    // Changes; tasks of the effective spec (0: finished, -: unknown), version of the individual
+    // key, obsolete batches.
     "in_4@7,                            4,0,0",
     "in_4@7 in_5@9,                     4,0,0",
-    "in_5@9 in_4@7,                     4,0,0", // as a list shows them, by key
+    "in_5@9 in_4@7,                     4,0,0", // in the order of a list, which is sorted by key
     "in_4@7 own5@9,                     4,9,0",
     "in_4@9 own5@7,                     5,7,0",
     "own5@7 in_4@9,                     5,7,0",
-    "own5@9 in_4@7,                     4,9,0", // a page newer than the changes that follow it
+    "own5@9 in_4@7,                     4,9,0", // a page that is newer than the changes after it
     "in_4@7 put4@9,                     4,9,1",
     "in_4@7 own5@8 put4@9,              4,9,1",
-    "in_5@8 put4@9 in_4@7,              4,9,2", // the first that accepted it was removed and comes late
+    "in_5@8 put4@9 in_4@7,              4,9,2", // the first accepting batch, now deleted, is late
     "in_4@7 in_5@8 put4@9 del4@10,      4,9,1",
     "put4@9 in_4@7 del4@10,             4,9,0",
     "in_4@7 end4@9,                     0,0,1",
-    "end4@9 in_4@7,                     0,0,1", // never again after it was over
+    "end4@9 in_4@7,                     0,0,1", // a finished job is never accepted again
     "in_4@7 end4@9 in_5@8,              0,0,2",
     "in_4@7 del4@8,                     4,0,0",
   })
-  void theEarliestCountsUntilTheJobHasGoneOn(String changes, String tasks, long version, int over) {
-    ClusterState world = new ClusterState(touched -> {});
+  void earliestRecordIsEffectiveUntilTheJobIsActedOn(
+      String changes, String tasks, long version, int obsolete) {
+    ClusterState clusterState = new ClusterState(delta -> {});
     List<Change> all = new ArrayList<>();
     for (String change : changes.split(" ")) {
       all.add(change(change));
     }
-    world.changes(all, 10);
-    Job job = world.job(ID);
-    String stands =
+    clusterState.changes(all, 10);
+    Job job = clusterState.job(ID);
+    String effective =
         job != null
             ? String.valueOf(job.record().spec().tasks())
-            : world.finalPhase(ID) != null ? "0" : "-";
-    assertEquals(tasks, stands);
+            : clusterState.finalPhase(ID) != null ? "0" : "-";
+    assertEquals(tasks, effective);
     assertEquals(version, job == null ? 0 : job.version());
-    assertEquals(over, world.needless().size());
+    assertEquals(obsolete, clusterState.obsoleteRecords().size());
   }
 }
--- a/src/test/java/io/tansystack/cluster/WallClockConverterTest.java
+++ b/src/test/java/io/tansystack/cluster/WallClockConverterTest.java
@@ -9,25 +9,32 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What another clock showed proves that something was earlier, and never that it was earlier than it was. */
+/**
+ * A converted wall-clock time may be later than the actual time, but never earlier: an event must
+ * not seem older than it is.
+ */
 class WallClockConverterTest {
   private static final Duration SKEW = Duration.ofMillis(250);
 
-  /** By how much the writer's clock and this one's are wrong; how long ago it was written; what is proven. */
+  /**
+   * Milliseconds: the errors of the writer's clock and of this process's clock, the actual age of
+   * the time, and its proven age.
+   */
   @ParameterizedTest
   @CsvSource({
     "0, 0, 10000, 9500", "250, -250, 10000, 9000", "-250, 250, 10000, 10000", "250, 250, 10000, 9500",
     "0, 0, 500, 0", "0, 0, 0, 0", "250, -250, 0, 0", "-250, 250, 0, 0", "-250, 250, 100, 100"
   })
-  void isNeverTakenForOlderThanItIs(long writerMs, long ownMs, long agoMs, long provenMs) {
+  void neverComputesATimeEarlierThanTheActualOne(
+      long writerMs, long ownMs, long agoMs, long provenMs) {
     SimEventLoop loop = new SimEventLoop();
     long written = loop.now().toMillis() + writerMs;
     Duration then = loop.now();
     loop.runFor(Duration.ofMillis(agoMs));
-    WallClockConverter timeOfDay =
+    WallClockConverter converter =
         new WallClockConverter(
             loop, () -> Instant.ofEpochMilli(loop.now().toMillis() + ownMs), SKEW);
-    Duration latest = timeOfDay.latest(written);
+    Duration latest = converter.latest(written);
     assertEquals(Duration.ofMillis(provenMs), loop.now().minus(latest));
     assertTrue(latest.compareTo(then) >= 0);
     assertTrue(latest.minus(then).compareTo(SKEW.multipliedBy(4)) <= 0);
--- a/src/test/java/io/tansystack/recovery/OwnerLivenessTest.java
+++ b/src/test/java/io/tansystack/recovery/OwnerLivenessTest.java
@@ -18,40 +18,45 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A lease of 18 s, reports every 4 s, records that last 4.5 s; an owner "c" that does not answer. */
+/**
+ * Checks the verdicts on an owner "c" with worker leases of 18 s, reports every 4 s and controller
+ * records that outlive their last renewal by 4.5 s. Guards against workers whose lease expires
+ * while their owner is waited for, and against taking machines from an owner that is restarting.
+ */
 class OwnerLivenessTest {
   private static final Duration LEASE = Duration.ofSeconds(18);
   private static final Duration REPORT = Duration.ofSeconds(4);
-  private static final Duration RECORD = Duration.ofMillis(4500);
+  private static final Duration RECORD_TTL = Duration.ofMillis(4500);
 
   private final SimEventLoop loop = new SimEventLoop();
-  private final ClusterState world = new ClusterState(touched -> {});
+  private final ClusterState clusterState = new ClusterState(delta -> {});
   private long revision;
   private boolean unfit;
-  private boolean heard;
-  private boolean refuses;
-  private boolean silent;
+  private boolean heardFrom;
+  private boolean refusesConnections;
+  private boolean unresponsive;
   private final OwnerLiveness owners =
       new OwnerLiveness(
           loop,
-          world,
+          clusterState,
           () -> Instant.ofEpochMilli(loop.now().toMillis()),
-          RECORD,
+          RECORD_TTL,
           LEASE,
           REPORT,
-          new RecoveryContext.PeerHealth(c -> unfit, c -> heard, c -> refuses, c -> silent));
+          new RecoveryContext.PeerHealth(
+              c -> unfit, c -> heardFrom, c -> refusesConnections, c -> unresponsive));
 
   private void put(String key, com.fasterxml.jackson.databind.node.ObjectNode value) {
-    world.changes(List.of(new Change(key, value, ++revision)), revision);
+    clusterState.changes(List.of(new Change(key, value, ++revision)), revision);
   }
 
-  private void record(String boot) {
+  private void record(String incarnation) {
     put(
         ClusterState.controllerKey("c"),
-        boot == null ? null : Cbor.map().put("boot", boot).put("zone", "a"));
+        incarnation == null ? null : Cbor.map().put("boot", incarnation).put("zone", "a"));
   }
 
-  private void acceptedJob() {
+  private void acceptJob() {
     JobSpec spec =
         new JobSpec(
             "wk-1", "c", "t", JobKind.ARRAY, Priority.LOW, 1, 1, 0, 1, "i", 1, null, null, false,
@@ -61,7 +66,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // record, unfit, heard, refuses, silent: what is made of it at once, and after so many ms.
+    // recorded, unfit, heard from, refuses connections, unresponsive: the verdict at once, and
+    // after this many ms.
     "true,  false, true,  false, false, HERE,    0, HERE",
     "true,  true,  true,  false, true,  AWAITED, 6000, UNFIT",
     "true,  false, false, false, false, AWAITED, 6000, HERE",
@@ -72,44 +78,44 @@
     "false, true,  true,  true,  false, AWAITED, 30000, LATE",
     "false, true,  true,  false, true,  LATE,    0, LATE",
   })
-  void whatIsMadeOfAnOwner(
+  void verdictFollowsFromRecordAndPeerHealth(
       boolean recorded,
       boolean unfit,
-      boolean heard,
-      boolean refuses,
-      boolean silent,
+      boolean heardFrom,
+      boolean refusesConnections,
+      boolean unresponsive,
       OwnerLiveness.Verdict first,
       int afterMs,
       OwnerLiveness.Verdict then) {
-    acceptedJob();
+    acceptJob();
     if (recorded) {
       record("one");
     }
     this.unfit = unfit;
-    this.heard = heard;
-    this.refuses = refuses;
-    this.silent = silent;
+    this.heardFrom = heardFrom;
+    this.refusesConnections = refusesConnections;
+    this.unresponsive = unresponsive;
     assertEquals(first, owners.verdict("c"));
     loop.runFor(Duration.ofMillis(afterMs));
     assertEquals(then, owners.verdict("c"));
   }
 
   @Test
-  void oneThatHasActedForLongIsUnfitAtOnceAndOneThatHasJustStartedIsAwaited() {
-    acceptedJob();
+  void anEstablishedControllerIsUnfitAtOnceAndARestartedOneIsAwaited() {
+    acceptJob();
     record("one");
-    heard = true;
+    heardFrom = true;
     assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
     loop.runFor(Duration.ofSeconds(60));
-    unfit = true; // It says that it does not hear its workers: theirs is no time to lose.
+    unfit = true; // It says that it receives no reports: its workers have no time to lose.
     assertEquals(OwnerLiveness.Verdict.UNFIT, owners.verdict("c"));
-    record("two"); // It has registered anew, and says that it may not act yet.
+    record("two"); // It has registered again, and reports that it may not act yet.
     assertEquals(OwnerLiveness.Verdict.AWAITED, owners.verdict("c"));
     unfit = false;
     assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
   }
 
-  private Duration untilLate() {
+  private Duration runUntilLate() {
     Duration from = loop.now();
     while (owners.verdict("c") != OwnerLiveness.Verdict.LATE) {
       loop.runFor(Duration.ofMillis(100));
@@ -119,59 +125,61 @@
   }
 
   /**
-   * It may have answered a report, sent an interval before, just before it ended: by the time it is
-   * late the worker has to find its heir with something in hand, wherever this controller comes from.
+   * Just before the owner ended, it may have answered a report that was sent an interval earlier.
+   * When the owner becomes overdue, the worker must have enough of its lease left to find a
+   * successor, whenever this controller started.
    */
   @ParameterizedTest
   @CsvSource({"0, 4500", "2000, 4500", "4000, 4500", "6000, 0", "7500, 0", "20000, 0"})
-  void aWorkersLeaseOutlastsTheWait(int startsAfterMs, int recordLastsMs) {
-    acceptedJob();
+  void aWorkersLeaseOutlastsTheWaitForItsOwner(int startsAfterMs, int recordLastsMs) {
+    acceptJob();
     record("one");
-    heard = true;
-    boolean livesThrough = startsAfterMs == 0;
-    if (livesThrough) {
+    heardFrom = true;
+    boolean activeBeforeTheEnd = startsAfterMs == 0;
+    if (activeBeforeTheEnd) {
       assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
     }
     Duration ended = loop.now();
-    refuses = true;
+    refusesConnections = true;
     unfit = true;
     loop.runFor(Duration.ofMillis(Math.max(startsAfterMs, recordLastsMs)));
     record(null);
     Duration from = loop.now();
-    untilLate();
+    runUntilLate();
     Duration leaseEnds = ended.plus(LEASE).minus(REPORT.multipliedBy(5).dividedBy(4));
-    Duration inHand = leaseEnds.minus(loop.now());
+    Duration remaining = leaseEnds.minus(loop.now());
     boolean couldBeSaved = from.plus(Duration.ofSeconds(6)).compareTo(leaseEnds) < 0;
     assertTrue(
-        !couldBeSaved || inHand.compareTo(Duration.ofMillis(3300)) > 0,
-        "started " + startsAfterMs + " ms after the end, in hand " + inHand);
-    assertTrue(loop.now().minus(from).compareTo(Duration.ofSeconds(12)) < 0, "not for ever");
+        !couldBeSaved || remaining.compareTo(Duration.ofMillis(3300)) > 0,
+        "started " + startsAfterMs + " ms after the end, remaining " + remaining);
+    assertTrue(
+        loop.now().minus(from).compareTo(Duration.ofSeconds(12)) < 0, "waits for a limited time");
   }
 
   @Test
-  void whatStartsHaveTakenIsLearnt() {
-    acceptedJob();
+  void learnsHowLongRestartsTake() {
+    acceptJob();
     record("one");
-    heard = true;
+    heardFrom = true;
     owners.verdict("c");
-    refuses = true;
+    refusesConnections = true;
     unfit = true;
     owners.verdict("c");
     loop.runFor(Duration.ofSeconds(1));
-    refuses = false;
+    refusesConnections = false;
     unfit = false;
     record("two");
     assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
     loop.runFor(Duration.ofSeconds(60));
     unfit = true;
-    refuses = true;
+    refusesConnections = true;
     record(null);
-    // Its record had outlived it by 4.5 s already: by far more than a start has ever taken.
+    // Its record has outlived it by 4.5 s already, which is far longer than any restart has taken.
     assertEquals(OwnerLiveness.Verdict.LATE, owners.verdict("c"));
   }
 
   @Test
-  void withNoWorkThereIsNothingToWaitFor() {
-    assertTrue(untilLate().compareTo(Duration.ofSeconds(3)) < 0);
+  void doesNotWaitWithoutJobs() {
+    assertTrue(runUntilLate().compareTo(Duration.ofSeconds(3)) < 0);
   }
 }
--- a/src/test/java/io/tansystack/sim/JobArchivalTest.java
+++ b/src/test/java/io/tansystack/sim/JobArchivalTest.java
@@ -145,8 +145,8 @@
   @ParameterizedTest
   @ValueSource(ints = {10_000, 50_000})
   void aStartDoesNotGrowWithWhatHasEnded(int ended) throws Exception {
-    Start none = start(0, ClusterState::endedKey);
-    Start many = start(ended, ClusterState::endedKey);
+    Start none = start(0, ClusterState::archiveKey);
+    Start many = start(ended, ClusterState::archiveKey);
     assertTrue(many.requests <= none.requests * 1.1, none + " and " + many);
     assertTrue(many.took.toMillis() <= none.took.toMillis() * 1.1, none + " and " + many);
     // As it was, and as what is not put away yet.
