--- a/src/main/java/io/tansystack/cli/Controller.java
+++ b/src/main/java/io/tansystack/cli/Controller.java
@@ -188,7 +188,7 @@
             loop, store, world, settings, boot, clock, types::all, this::storeAnswers,
             watcher::confirm);
     this.sweep = new RecordGarbageCollector(loop, store, world, lease, slots);
-    this.start = new StartupLogger(loop, world, label, recovery, desk::standing);
+    this.start = new StartupLogger(loop, world, label, recovery, desk::startupCounts);
     this.overseer =
         new JobHealthMonitor(
             loop,
@@ -218,7 +218,7 @@
     stall.check();
     if (heardUntil.compareTo(stall.runningSince()) < 0) {
       peers.listenAnew();
-      desk.listenAnew();
+      desk.restartSilenceTimers();
     }
     heardUntil = loop.now();
     ticks++;
@@ -264,7 +264,7 @@
         world.machines().keySet().stream().filter(m -> world.placedOn(m).isEmpty()).count(),
         jobs.lastSnapshot().machines().stream().filter(m -> !m.open()).count(),
         jobs.lastPlan().unmet().size(),
-        desk.owned().size(),
+        desk.ownedMachines().size(),
         lease.valid(),
         slots.isPlanner(),
         stall.stallCount(),
@@ -278,7 +278,7 @@
         () -> {
           slots.tick();
           jobs.touched(touched);
-          desk.worldChanged(touched);
+          desk.onClusterStateChange(touched);
         });
     jobs.wake();
   }
@@ -292,7 +292,7 @@
   }
 
   private boolean deaf() {
-    return desk.deaf();
+    return desk.isolatedFromWorkers();
   }
 
   private Set<String> informed() {
@@ -313,7 +313,7 @@
   }
 
   private List<MachineView> told() {
-    return desk.told();
+    return desk.publishedViews();
   }
 
   private void viewFromPeer(MachineView view) {
@@ -336,7 +336,7 @@
     boolean get = method.equals("GET");
     boolean post = method.equals("POST");
     if (post && path.equals("/v1/report")) {
-      desk.report(body, latencies.timed("report", reply));
+      desk.handleReport(body, latencies.timed("report", reply));
     } else if (get && path.equals("/up")) {
       reply.send(ready() ? 200 : 503, empty);
     } else if (post && path.equals("/v1/jobs")) {
--- a/src/main/java/io/tansystack/fleet/Autoscaler.java
+++ b/src/main/java/io/tansystack/fleet/Autoscaler.java
@@ -155,7 +155,7 @@
   private void adoptOrphans() {
     for (MachineRecord record : world.machines().values()) {
       if (!world.alive(record.owner())) {
-        desk.adopt(record);
+        desk.failOverIfOverdue(record);
       }
     }
   }
@@ -184,7 +184,7 @@
         (owner, names) -> {
           // Most machines of one owner at once: it is the owner that they can't reach.
           // The first to be silent for long enough are few; those that follow them count too.
-          if (quiet.get(owner) <= Math.max(2, owned.get(owner) * WorkerManager.MASS)) {
+          if (quiet.get(owner) <= Math.max(2, owned.get(owner) * WorkerManager.MASS_SILENCE_SHARE)) {
             names.forEach(
                 name -> returns.mark(name, "silent for longer than " + operator.silentDelete()));
           }
--- a/src/main/java/io/tansystack/jobs/DroppedPlacementLog.java
+++ b/src/main/java/io/tansystack/jobs/DroppedPlacementLog.java
@@ -22,7 +22,7 @@
     if (proofs == null || !log.isInfoEnabled()) {
       return;
     }
-    List<TerminationProofs.Evidence> grounds = proofs.grounds();
+    List<TerminationProofs.Evidence> grounds = proofs.evidence();
     int more = grounds.size() - MOST_GROUNDS;
     if (more > 0) {
       log.info("drop job={} copy={} {} and {} more", job, copy, grounds.subList(0, MOST_GROUNDS), more);
--- a/src/main/java/io/tansystack/jobs/MachineStateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/MachineStateBuilder.java
@@ -67,7 +67,7 @@
             && view.token() == world.token(record)
             && view.report().token() > 0 // Else a late copy of a report may be all there is of it.
             && view.report().noticeS() == null
-            && !view.unhearing()
+            && !view.responsesLost()
             && view.silentMs() < patienceMs;
     return new MachineState(
         record.name(),
--- a/src/main/java/io/tansystack/jobs/SchedulingState.java
+++ b/src/main/java/io/tansystack/jobs/SchedulingState.java
@@ -134,7 +134,7 @@
       return true;
     }
     markMachine(machine);
-    Set<String> concerned = view.provesMoreThan(old);
+    Set<String> concerned = view.jobsWithNewProofs(old);
     dirtyJobs.addAll(concerned);
     return !concerned.isEmpty();
   }
@@ -262,14 +262,14 @@
     TerminationProofs found =
         TerminationProofs.collect(
             id, record, views, world::machine, world::token, maxProofConditions);
-    if (found.over().isEmpty()) {
+    if (found.ended().isEmpty()) {
       proofs.remove(id);
     } else {
       proofs.put(id, found);
       if (slots.holds(job.slot())) {
         remember(id, found);
       }
-      record = record.absorbed(found.over());
+      record = record.absorbed(found.ended());
     }
     JobRecord before = effective.put(id, record);
     if (before == null || (before.spec() == null) != (record.spec() == null)) {
@@ -368,7 +368,7 @@
 
   private void remember(String job, TerminationProofs found) {
     Duration now = loop.now();
-    for (JobRecord.EndedAttempt over : found.over()) {
+    for (JobRecord.EndedAttempt over : found.ended()) {
       if (over.done()) {
         failures.succeeded(job, over.machine());
       }
--- a/src/main/java/io/tansystack/workers/CancellationTracker.java
+++ b/src/main/java/io/tansystack/workers/CancellationTracker.java
@@ -18,93 +18,108 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Cancelled work that may still be on a machine, and since when. Its owner stops it by direct commands,
- * which may not arrive, or be carried out much later, while reports do arrive and their answers renew
- * the worker's lease: it would go on for as long as that lasts. So no report is answered from a machine
- * that may have such work when {@code life} has passed since the copy of the records can last have been
- * without the cancellation. With that the sum that bounds cancelled work holds whether or not the owner
- * has heard of the cancellation, and however its commands fare: {@code life + lease_s}.
+ * Decides which machines' leases must be left to expire because cancelled tasks may still run
+ * there.
  *
- * <p>A process that has just started had no copy before, and would count from its own first reading: starts
- * in a row, each sooner than {@code life}, would give cancelled work as much again every time. So the record
- * says at which time of day the cancellation was sent to the state service, which was before its user was
- * told. Both clocks may be wrong by {@code skew}, and one may have been wrong the other way, so it is only
- * taken for as old as it must be; what proves that it is older counts.
+ * <p>A machine's owner stops cancelled tasks by direct commands. These may be lost or executed much
+ * later, while reports still arrive and the responses to them renew the worker's lease: the tasks
+ * would run on for as long as that lasts. So a report of a machine that may have such tasks is not
+ * answered once {@code life}, the duration of a controller's lease, has passed since the last
+ * moment at which the cluster state cache can have been without the cancellation. Cancelled tasks
+ * therefore run for at most {@code life + lease_s}, whether or not the owner has seen the
+ * cancellation, and whatever becomes of its commands.
+ *
+ * <p>A process that has just started had no cache before and would count from its own first load:
+ * repeated restarts, each sooner than {@code life}, would extend the time of cancelled tasks every
+ * time. So the job's record contains the time of day at which the cancellation was sent to the
+ * state service, which was before the user got the response. Each of the two clocks may be off by
+ * {@code skew}, in opposite directions, so only the age that this time proves is taken into
+ * account. Of the moment derived from it and the one given by the cache, the earlier one counts.
  */
 final class CancellationTracker {
   private static final Logger log = LoggerFactory.getLogger(CancellationTracker.class);
 
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final ControllerLease lease;
-  private final Supplier<Duration> unknownUntil;
-  private final WallClockConverter timeOfDay;
-  private final Map<String, Duration> since = new HashMap<>();
+  private final Supplier<Duration> notCommittedBefore;
+  private final WallClockConverter wallClock;
+  private final Map<String, Duration> cancelledSince = new HashMap<>();
 
-  /** @param unknownUntil the latest moment at which nobody can have committed what the copy has just shown */
+  /**
+   * @param notCommittedBefore the moment up to which the cache was complete before its newest
+   *     changes: these were committed later
+   */
   CancellationTracker(
-      ClusterState world,
+      ClusterState clusterState,
       ControllerLease lease,
-      Supplier<Duration> unknownUntil,
-      WallClockConverter timeOfDay) {
-    this.world = world;
+      Supplier<Duration> notCommittedBefore,
+      WallClockConverter wallClock) {
+    this.clusterState = clusterState;
     this.lease = lease;
-    this.unknownUntil = unknownUntil;
-    this.timeOfDay = timeOfDay;
+    this.notCommittedBefore = notCommittedBefore;
+    this.wallClock = wallClock;
   }
 
-  /** The records of these jobs have changed. */
-  void worldChanged(ClusterStateDelta touched) {
-    for (String id : touched.jobs()) {
-      Job job = world.job(id);
+  /** Updates the set of cancelled jobs after their records have changed. */
+  void onClusterStateChange(ClusterStateDelta delta) {
+    for (String id : delta.jobs()) {
+      Job job = clusterState.job(id);
       if (job == null || job.record().phase() != Phase.CANCELLED) {
-        since.remove(id);
+        cancelledSince.remove(id);
       } else {
-        since.computeIfAbsent(id, k -> sentBy(job.record().cancelledMs()));
+        cancelledSince.computeIfAbsent(id, k -> countsFrom(job.record().cancelledMs()));
       }
     }
   }
 
-  /** Turned into steady time once: a time of day that is set anew later must not move it. */
-  private Duration sentBy(long cancelledMs) {
-    Duration unknown = unknownUntil.get();
-    Duration sent = cancelledMs > 0 ? timeOfDay.latest(cancelledMs) : unknown;
-    return sent.compareTo(unknown) < 0 ? sent : unknown;
+  /**
+   * The moment from which {@code life} counts for a cancellation. The time of day is converted to
+   * monotonic time only once, so that a later clock adjustment does not move it.
+   */
+  private Duration countsFrom(long cancelledMs) {
+    Duration notBefore = notCommittedBefore.get();
+    Duration sent = cancelledMs > 0 ? wallClock.latest(cancelledMs) : notBefore;
+    return sent.compareTo(notBefore) < 0 ? sent : notBefore;
   }
 
   /**
-   * Whether the report must not be answered, so that the machine's lease runs out.
+   * Whether the report must not be answered, so that the worker's lease expires.
    *
-   * @param token the owner's
+   * @param token the owner's token for the machine
    */
-  boolean leftToItsLease(OwnedMachine machine, Report report, long token) {
-    // Then the machine has what the report lists and no more: nothing sent under this token can still arrive.
-    boolean quiet =
-        report.token() == token && !machine.ordersInFlight && machine.doubtfulToken != token;
-    boolean left = false;
-    for (IndexedPlacement placed :
-        since.isEmpty() ? List.<IndexedPlacement>of() : world.placedOn(machine.name)) {
-      Duration at = since.get(placed.jobId());
-      Placement placement = placed.placement();
-      // A later session than the placement's proves that it is over.
-      left |=
-          at != null
-              && !lease.isRecent(at)
+  boolean mustLeaveToExpire(OwnedMachine machine, Report report, long token) {
+    // If true, the machine has exactly the tasks that the report lists: no command sent under this
+    // token can still arrive.
+    boolean reportIsComplete =
+        report.token() == token && !machine.commandsInFlight && machine.unconfirmedToken != token;
+    boolean mustExpire = false;
+    for (IndexedPlacement indexed :
+        cancelledSince.isEmpty()
+            ? List.<IndexedPlacement>of()
+            : clusterState.placedOn(machine.name)) {
+      Duration cancelledAt = cancelledSince.get(indexed.jobId());
+      Placement placement = indexed.placement();
+      // A later session than the placement's proves that its tasks have ended.
+      mustExpire |=
+          cancelledAt != null
+              && !lease.isRecent(cancelledAt)
               && placement.session() == report.session()
-              && (!quiet || lists(report, placed.jobId(), placement.attempt()));
+              && (!reportIsComplete || listsAsRunning(report, indexed.jobId(), placement.attempt()));
     }
-    if (left && !machine.leftToItsLease) {
+    if (mustExpire && !machine.leftToExpire) {
       log.warn(
-          "machine={} session={} shown={} token={} is left to its lease: what was cancelled there can't be stopped",
+          "machine={} session={} shown={} token={} is left to expire: cancelled tasks may still run"
+              + " there and can't be stopped",
           machine.name,
           report.session(),
           report.token(),
           token);
     }
-    machine.leftToItsLease = left;
-    return left;
+    machine.leftToExpire = mustExpire;
+    return mustExpire;
   }
 
-  private static boolean lists(Report report, String job, long attempt) {
+  private static boolean listsAsRunning(Report report, String job, long attempt) {
     return report.tasks().stream()
         .anyMatch(t -> !t.exited() && t.attempt() == attempt && t.task().job().equals(job));
   }
--- a/src/main/java/io/tansystack/workers/ClaimBatcher.java
+++ b/src/main/java/io/tansystack/workers/ClaimBatcher.java
@@ -16,21 +16,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Claims machines that nobody has claimed before, those that come up at once by one record. The first
- * is claimed as it comes; who follows closely waits for a fraction of a second, for others.
+ * Claims machines that have never been claimed. Machines that come up at about the same time are
+ * claimed by one record, a claim batch. A machine that comes up alone is claimed almost at once;
+ * those that follow shortly after a write wait for a fraction of a second, so that others can join.
  */
 final class ClaimBatcher {
   private static final Logger log = LoggerFactory.getLogger(ClaimBatcher.class);
-  private static final Duration TOGETHER = Duration.ofMillis(20);
-  private static final Duration APART = Duration.ofMillis(700);
-  private static final Duration WAIT = Duration.ofSeconds(2);
 
-  /** An entry has some 120 bytes, a value several thousand. */
-  private static final int MAX_NAMED = 40;
+  /** How long the first machine waits for others. */
+  private static final Duration BATCH_DELAY = Duration.ofMillis(20);
+
+  /** Least time between two writes. */
+  private static final Duration MIN_INTERVAL = Duration.ofMillis(700);
+
+  private static final Duration COMMIT_TIMEOUT = Duration.ofSeconds(2);
+
+  /** An entry takes about 120 bytes, and a value may have several thousand. */
+  private static final int MAX_BATCH_SIZE = 40;
 
   private static final int MAX_WAITING = 400;
 
-  private record Claim(MachineRecord record, CommitCallback then) {
+  private record Claim(MachineRecord record, CommitCallback callback) {
     Condition unclaimed() {
       return new Condition(ClusterState.machineKey(record.name()), 0);
     }
@@ -38,90 +44,90 @@
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final String boot;
+  private final String incarnation;
   private final ArrayDeque<Claim> waiting = new ArrayDeque<>();
-  private boolean timed;
-  private Duration writtenAt = Duration.ofDays(-1);
-  private long counter;
+  private boolean writeScheduled;
+  private Duration lastWriteAt = Duration.ofDays(-1);
+  private long batchCounter;
 
-  /** @param boot this start of the process: names of lots begin with it */
-  ClaimBatcher(EventLoop loop, StoreClient store, String boot) {
+  /** @param incarnation process incarnation ID, with which the names of claim batches begin */
+  ClaimBatcher(EventLoop loop, StoreClient store, String incarnation) {
     this.loop = loop;
     this.store = store;
-    this.boot = boot;
+    this.incarnation = incarnation;
   }
 
-  /** Claims a machine that has no record at all; false if too many wait already. */
-  boolean claim(MachineRecord record, CommitCallback then) {
+  /** Queues a claim of a machine that has no record; false if too many are waiting already. */
+  boolean claim(MachineRecord record, CommitCallback callback) {
     if (waiting.size() >= MAX_WAITING) {
       return false;
     }
-    waiting.add(new Claim(record, then));
-    if (!timed) {
-      timed = true;
-      Duration due = writtenAt.plus(APART).minus(loop.now());
-      loop.after(due.compareTo(TOGETHER) > 0 ? due : TOGETHER, this::write);
+    waiting.add(new Claim(record, callback));
+    if (!writeScheduled) {
+      writeScheduled = true;
+      Duration delay = lastWriteAt.plus(MIN_INTERVAL).minus(loop.now());
+      loop.after(delay.compareTo(BATCH_DELAY) > 0 ? delay : BATCH_DELAY, this::write);
     }
     return true;
   }
 
   private void write() {
-    timed = false;
-    writtenAt = loop.now();
+    writeScheduled = false;
+    lastWriteAt = loop.now();
     while (!waiting.isEmpty()) {
-      List<Claim> lot = new ArrayList<>();
-      while (!waiting.isEmpty() && lot.size() < MAX_NAMED) {
-        lot.add(waiting.poll());
+      List<Claim> batch = new ArrayList<>();
+      while (!waiting.isEmpty() && batch.size() < MAX_BATCH_SIZE) {
+        batch.add(waiting.poll());
       }
-      if (lot.size() == 1) {
-        alone(lot.get(0));
+      if (batch.size() == 1) {
+        claimIndividually(batch.get(0));
       } else {
-        together(lot);
+        claimInBatch(batch);
       }
     }
   }
 
-  private void alone(Claim claim) {
+  private void claimIndividually(Claim claim) {
     String key = ClusterState.machineKey(claim.record.name());
     commit(
         List.of(claim),
         List.of(claim.unclaimed()),
         new Write(key, claim.record.write(), 0),
-        (result, revision) -> claim.then.done(result, revision));
+        (result, revision) -> claim.callback.done(result, revision));
   }
 
-  private void together(List<Claim> lot) {
-    String key = ClusterState.claimBatchKey(boot + "-" + counter++);
+  private void claimInBatch(List<Claim> batch) {
+    String key = ClusterState.claimBatchKey(incarnation + "-" + batchCounter++);
     List<Condition> conditions = new ArrayList<>();
     conditions.add(new Condition(key, 0));
-    lot.forEach(claim -> conditions.add(claim.unclaimed()));
+    batch.forEach(claim -> conditions.add(claim.unclaimed()));
     commit(
-        lot,
+        batch,
         conditions,
-        new Write(key, ClusterState.claimBatch(lot.stream().map(Claim::record).toList()), 0),
+        new Write(key, ClusterState.claimBatch(batch.stream().map(Claim::record).toList()), 0),
         (result, revision) -> {
           if (result == CommitResult.CONFLICT) {
-            // One of them was claimed by another; the rest need not suffer for it.
-            lot.forEach(this::alone);
+            // Another controller has claimed one of them; the others can still be claimed.
+            batch.forEach(this::claimIndividually);
           } else {
-            lot.forEach(claim -> claim.then.done(result, revision));
+            batch.forEach(claim -> claim.callback.done(result, revision));
           }
         });
   }
 
   private void commit(
-      List<Claim> lot, List<Condition> conditions, Write write, CommitCallback then) {
+      List<Claim> batch, List<Condition> conditions, Write write, CommitCallback callback) {
     store.commitUrgent(
         conditions,
         List.of(write),
-        WAIT,
+        COMMIT_TIMEOUT,
         (result, revision) -> {
           log.info(
               "claim machines={} token={} result={} because=they came up",
-              lot.stream().map(claim -> claim.record.name()).toList(),
+              batch.stream().map(claim -> claim.record.name()).toList(),
               revision,
               result);
-          then.done(result, revision);
+          callback.done(result, revision);
         });
   }
 }
--- a/src/main/java/io/tansystack/workers/CommandSender.java
+++ b/src/main/java/io/tansystack/workers/CommandSender.java
@@ -20,116 +20,128 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commands to machines: what a machine lacks follows from the records and its newest report, and goes
- * out by {@code /orders} alone, one request at a time for each machine.
+ * Sends commands to workers. What a machine needs follows from the cluster state and its newest
+ * report. Commands are sent by {@code /orders} only, one request at a time for each machine.
  */
 final class CommandSender {
   private static final Logger log = LoggerFactory.getLogger(CommandSender.class);
-  private static final Duration ORDERS_TIMEOUT = Duration.ofSeconds(4);
-  private static final Duration HALT_AGAIN = Duration.ofSeconds(5);
-  static final Duration FORGET_WAIT = Duration.ofSeconds(6);
-  private static final int MANY_FORGETS = 40;
+  private static final Duration COMMANDS_TIMEOUT = Duration.ofSeconds(4);
+
+  /** A stop command is sent again if the task still runs after this time. */
+  private static final Duration STOP_RETRY_INTERVAL = Duration.ofSeconds(5);
+
+  /** How long forget commands wait for other commands to the same machine. */
+  static final Duration FORGET_DELAY = Duration.ofSeconds(6);
+
+  /** This many forget commands are sent without waiting. */
+  private static final int MIN_FORGET_BATCH = 40;
+
   private static final int MAX_COMMANDS = 300;
 
-  /** Told of the report that answers commands. */
+  /** Receives the report with which a worker responds to commands. */
   interface CommandReplyListener {
-    void take(OwnedMachine machine, Report report);
+    void onReply(OwnedMachine machine, Report report);
   }
 
-  private final ThrottledLogger malformed = new ThrottledLogger(log);
+  private final ThrottledLogger invalidMessages = new ThrottledLogger(log);
   private final EventLoop loop;
-  private final HttpClient caller;
-  private final ClusterState world;
-  private final CommandReplyListener answered;
-  private final Consumer<OwnedMachine> again;
-  private final CommandThrottle pace;
-  private final Map<Command.Op, Long> sent = new EnumMap<>(Command.Op.class);
+  private final HttpClient httpClient;
+  private final ClusterState clusterState;
+  private final CommandReplyListener replyListener;
+  private final Consumer<OwnedMachine> afterReply;
+  private final CommandThrottle throttle;
+  private final Map<Command.Op, Long> sentCount = new EnumMap<>(Command.Op.class);
 
   /**
-   * @param pace tells when a machine's turn is
-   * @param again asked to look at a machine once more, after its answer was taken in
+   * @param throttle spreads the commands of a startup and decides when a machine gets its commands
+   * @param afterReply called after a machine's response was handled, to reconcile it once more
    */
   CommandSender(
       EventLoop loop,
-      HttpClient caller,
-      ClusterState world,
-      CommandThrottle pace,
-      CommandReplyListener answered,
-      Consumer<OwnedMachine> again) {
+      HttpClient httpClient,
+      ClusterState clusterState,
+      CommandThrottle throttle,
+      CommandReplyListener replyListener,
+      Consumer<OwnedMachine> afterReply) {
     this.loop = loop;
-    this.caller = caller;
-    this.world = world;
-    this.pace = pace;
-    this.answered = answered;
-    this.again = again;
+    this.httpClient = httpClient;
+    this.clusterState = clusterState;
+    this.throttle = throttle;
+    this.replyListener = replyListener;
+    this.afterReply = afterReply;
   }
 
-  /** How many orders of the kind were sent. */
-  long sent(Command.Op op) {
-    return sent.getOrDefault(op, 0L);
+  /** How many commands of the kind were sent. */
+  long sentCount(Command.Op op) {
+    return sentCount.getOrDefault(op, 0L);
   }
 
-  /** What the machine's newest report and the records differ in. */
-  Reconciliation difference(OwnedMachine machine) {
-    return Reconciliation.of(machine.latest.session(), machine.listed, world.placedOn(machine.name));
+  /** The differences between the machine's newest report and the cluster state. */
+  Reconciliation reconciliation(OwnedMachine machine) {
+    return Reconciliation.of(
+        machine.latest.session(), machine.reportedTasks, clusterState.placedOn(machine.name));
   }
 
   /**
-   * Attempts that will not be launched under this token: launches leave them out from the moment at
-   * which the record says that they are unwanted.
+   * Unwanted attempts that are not on the machine and will not be started under this token: start
+   * commands leave them out from the moment at which the record says that they are unwanted.
    */
-  static List<MachineView.AbsentAttempt> voids(Reconciliation difference) {
-    List<MachineView.AbsentAttempt> voids = new ArrayList<>();
-    for (TaskAttempt a : difference.absentAttempts()) {
-      voids.add(new MachineView.AbsentAttempt(a.task().job(), a.task().index(), a.number()));
+  static List<MachineView.AbsentAttempt> absentAttempts(Reconciliation reconciliation) {
+    List<MachineView.AbsentAttempt> attempts = new ArrayList<>();
+    for (TaskAttempt a : reconciliation.absentAttempts()) {
+      attempts.add(new MachineView.AbsentAttempt(a.task().job(), a.task().index(), a.number()));
     }
-    return voids;
+    return attempts;
   }
 
-  /** Sends what the machine lacks, whose newest report shows the token. */
-  void tend(OwnedMachine machine, Reconciliation difference, long token, Duration now) {
-    machine.halted.keySet().retainAll(machine.listed.keySet());
-    Reconciliation wanted =
-        difference.withoutStops(
+  /** Sends the commands that the machine needs. Its newest report must show the token. */
+  void sendCommands(OwnedMachine machine, Reconciliation reconciliation, long token, Duration now) {
+    machine.stopSentAt.keySet().retainAll(machine.reportedTasks.keySet());
+    Reconciliation toSend =
+        reconciliation.withoutStops(
             attempt -> {
-              Duration haltedAt = machine.halted.get(attempt);
-              return haltedAt != null && now.minus(haltedAt).compareTo(HALT_AGAIN) < 0;
+              Duration stopSentAt = machine.stopSentAt.get(attempt);
+              return stopSentAt != null && now.minus(stopSentAt).compareTo(STOP_RETRY_INTERVAL) < 0;
             });
-    boolean forgetsOnly = wanted.stops().isEmpty() && wanted.starts().isEmpty();
-    machine.settled =
-        forgetsOnly && wanted.forgets().isEmpty() && difference.stops().isEmpty();
+    boolean forgetsOnly = toSend.stops().isEmpty() && toSend.starts().isEmpty();
+    machine.nothingToSend =
+        forgetsOnly && toSend.forgets().isEmpty() && reconciliation.stops().isEmpty();
     if (forgetsOnly
-        && (wanted.forgets().isEmpty()
-            || (wanted.forgets().size() < MANY_FORGETS && now.compareTo(machine.forgetAt) < 0))) {
-      return; // Where tasks end, others start soon: what is to be forgotten goes with the launches.
+        && (toSend.forgets().isEmpty()
+            || (toSend.forgets().size() < MIN_FORGET_BATCH
+                && now.compareTo(machine.forgetsDueAt) < 0))) {
+      return; // Where tasks end, others start soon: forget commands go with the start commands.
     }
-    List<Command> commands = new ArrayList<>(wanted.stops());
-    commands.addAll(wanted.starts());
-    if (forgetsOnly || pace.waitingMachines() == 0) {
-      commands.addAll(wanted.forgets());
+    List<Command> commands = new ArrayList<>(toSend.stops());
+    commands.addAll(toSend.starts());
+    if (forgetsOnly || throttle.waitingMachines() == 0) {
+      commands.addAll(toSend.forgets());
     }
     if (commands.size() > MAX_COMMANDS) {
       commands = commands.subList(0, MAX_COMMANDS);
     }
-    if (pace.admit(machine.name, wanted.urgency(), commands.size())) {
-      wanted.stops().forEach(h -> machine.halted.put(new TaskAttempt(h.task(), h.attempt()), now));
-      machine.forgetAt = now.plus(FORGET_WAIT);
+    if (throttle.admit(machine.name, toSend.urgency(), commands.size())) {
+      toSend
+          .stops()
+          .forEach(h -> machine.stopSentAt.put(new TaskAttempt(h.task(), h.attempt()), now));
+      machine.forgetsDueAt = now.plus(FORGET_DELAY);
       send(machine, token, machine.latest.session(), commands);
     }
   }
 
   /**
-   * Stops what is unwanted on a machine that has not shown the token. Nothing else may be asked of it before
-   * it has: what was sent under an earlier token could still be carried out. Stopping is right at any time.
+   * Stops unwanted tasks on a machine that has not reported the token. No other command may be sent
+   * before it has, since commands sent under an earlier token could still be executed. A stop
+   * command is safe at any time.
    */
-  void stop(OwnedMachine machine, long token) {
-    List<Command> halts = difference(machine).stops().stream().limit(MAX_COMMANDS).toList();
-    send(machine, token, machine.latest.session(), halts);
+  void sendStops(OwnedMachine machine, long token) {
+    List<Command> stops = reconciliation(machine).stops().stream().limit(MAX_COMMANDS).toList();
+    send(machine, token, machine.latest.session(), stops);
   }
 
   private void send(OwnedMachine machine, long token, long session, List<Command> commands) {
-    machine.ordersInFlight = true;
-    commands.forEach(command -> sent.merge(command.op(), 1L, Long::sum));
+    machine.commandsInFlight = true;
+    commands.forEach(command -> sentCount.merge(command.op(), 1L, Long::sum));
     if (log.isDebugEnabled()) {
       for (Command c : commands) {
         log.debug(
@@ -141,49 +153,52 @@
             token);
       }
     }
-    caller.call(
+    httpClient.call(
         machine.address,
         "POST",
         "/orders",
         Command.orders(token, session, commands),
-        ORDERS_TIMEOUT,
+        COMMANDS_TIMEOUT,
         new HttpClient.ResponseHandler() {
           @Override
           public void answer(int status, byte[] body) {
-            machine.ordersInFlight = false;
-            machine.failures = 0;
+            machine.commandsInFlight = false;
+            machine.commandFailures = 0;
             try {
               if (status != 200 && status != 409) {
                 throw new InvalidMessageException("status " + status);
               }
               Report report = Report.read(body);
               if (!report.machine().equals(machine.name)) {
-                throw new InvalidMessageException("Berth: another machine's");
+                throw new InvalidMessageException("Berth: the report is about another machine");
               }
-              answered.take(machine, report);
+              replyListener.onReply(machine, report);
             } catch (InvalidMessageException e) {
-              // Nobody knows what became of the commands, and the newest report may be older than they are:
-              // what it doesn't list would be taken for not there, though it has just been launched.
-              malformed.tell("machine=" + machine.name + " answered commands", e.getMessage());
-              machine.quietUntil = loop.now().plusSeconds(1);
-              machine.doubtfulToken = token;
+              // It is unknown what became of the commands, and the newest report may be older than
+              // they are: a task that it doesn't list would be taken for absent, although it has
+              // just been started.
+              invalidMessages.tell(
+                  "machine=" + machine.name + " sent an invalid response to commands",
+                  e.getMessage());
+              machine.backOffUntil = loop.now().plusSeconds(1);
+              machine.unconfirmedToken = token;
             }
             if (status == 409) {
-              machine.quietUntil = loop.now().plusMillis(300);
+              machine.backOffUntil = loop.now().plusMillis(300);
             }
-            again.accept(machine);
+            afterReply.accept(machine);
           }
 
           @Override
           public void silence(boolean refused) {
-            machine.ordersInFlight = false;
-            machine.halted.clear();
-            machine.failures = Math.min(machine.failures + 1, 4);
-            machine.quietUntil = loop.now().plusMillis(500L << machine.failures);
+            machine.commandsInFlight = false;
+            machine.stopSentAt.clear();
+            machine.commandFailures = Math.min(machine.commandFailures + 1, 4);
+            machine.backOffUntil = loop.now().plusMillis(500L << machine.commandFailures);
             if (!refused) {
-              // They may still be carried out at any later time: only a higher token stops that.
-              machine.doubtfulToken = token;
-              machine.ignoredCommands(loop.now());
+              // They may still be executed at any later time: only a higher token prevents that.
+              machine.unconfirmedToken = token;
+              machine.onCommandsUnanswered(loop.now());
               log.info(
                   "no answer to {} commands machine={} token={}",
                   commands.size(),
--- a/src/main/java/io/tansystack/workers/HeartbeatMonitor.java
+++ b/src/main/java/io/tansystack/workers/HeartbeatMonitor.java
@@ -3,19 +3,28 @@
 import java.time.Duration;
 import java.util.Collection;
 
-/** How long machines have been silent, and whether it is they or this controller that can't be heard. */
+/**
+ * Tells how long machines have been silent, and whether so many are silent at once that this
+ * controller itself is isolated from its workers.
+ */
 final class HeartbeatMonitor {
-  /** Since when reports were heard and answered; before that, silences were this controller's own. */
+  /**
+   * Since when reports have been received and answered. Earlier silence was caused by this
+   * controller itself.
+   */
   private Duration listeningSince;
 
-  private boolean deaf;
+  private boolean isolatedFromWorkers;
 
   HeartbeatMonitor(Duration now) {
     this.listeningSince = now;
   }
 
-  /** This process stood still, or could not answer: no machine is to be judged by that time. */
-  void listenAnew(Duration now) {
+  /**
+   * Restarts the silence timers after a pause of this process or a time in which it could not
+   * answer reports: silence during that time says nothing about the machines.
+   */
+  void restartSilenceTimers(Duration now) {
     listeningSince = now;
   }
 
@@ -23,30 +32,39 @@
     return listeningSince;
   }
 
-  /** For how long the machine has not been heard, or has not heard: either way it is of no use. */
-  Duration of(OwnedMachine machine, Duration now) {
-    return since(machine.soundAt(), now);
+  /**
+   * How long the machine has sent no reports, or has not received the responses to them; it can't
+   * be used in either case.
+   */
+  Duration silence(OwnedMachine machine, Duration now) {
+    return timeSince(machine.lastHealthyAt(), now);
   }
 
-  private Duration since(Duration last, Duration now) {
+  private Duration timeSince(Duration last, Duration now) {
     return now.minus(last.compareTo(listeningSince) > 0 ? last : listeningSince);
   }
 
-  /** Looks at all machines of this controller, but for those that it hears and that don't hear it. */
-  void judge(Collection<OwnedMachine> machines, Duration now) {
-    int silent = 0;
-    int all = 0;
+  /**
+   * Counts the silent machines of this controller. Those whose reports arrive while responses don't
+   * reach them are left out.
+   */
+  void evaluate(Collection<OwnedMachine> machines, Duration now) {
+    int silentCount = 0;
+    int total = 0;
     for (OwnedMachine machine : machines) {
-      if (!machine.unhearing()) {
-        all++;
-        silent += MachineViewPublisher.silent(since(machine.answeredAt, now)) ? 1 : 0;
+      if (!machine.responsesLost()) {
+        total++;
+        silentCount += MachineViewPublisher.isSilent(timeSince(machine.answeredAt, now)) ? 1 : 0;
       }
     }
-    deaf = silent > 2 && silent > all * WorkerManager.MASS;
+    isolatedFromWorkers = silentCount > 2 && silentCount > total * WorkerManager.MASS_SILENCE_SHARE;
   }
 
-  /** Whether most machines had fallen silent together when they were looked at last. */
-  boolean deaf() {
-    return deaf;
+  /**
+   * Whether more than {@link WorkerManager#MASS_SILENCE_SHARE} of the machines, and more than two,
+   * were silent at the last evaluation.
+   */
+  boolean isolatedFromWorkers() {
+    return isolatedFromWorkers;
   }
 }
--- a/src/main/java/io/tansystack/workers/MachineClaims.java
+++ b/src/main/java/io/tansystack/workers/MachineClaims.java
@@ -24,101 +24,112 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Claims of machines: whose worker comes is sent to its owner, or taken over if there is none. */
+/**
+ * Claims machines. A worker that reports here although this controller is not its owner is
+ * redirected to its owner, or its machine is claimed if there is no owner that can serve it.
+ */
 final class MachineClaims {
   private static final Logger log = LoggerFactory.getLogger(MachineClaims.class);
-  private static final Duration CLAIM_WAIT = Duration.ofMillis(3500);
+  private static final Duration CLAIM_TIMEOUT = Duration.ofMillis(3500);
 
   /**
-   * Who was sent to its owner and can't reach it is back within this: 4 s without an answer, and a second.
-   * One that hears nobody goes round all controllers first, and a claim of it would only be followed by
-   * the next one's.
+   * A worker that was redirected to its owner and can't reach it is back within this time: 4 s
+   * without a response, and a second of waiting. A worker that receives no responses at all tries
+   * every controller before it returns, which takes longer; a claim of its machine would only be
+   * followed by the claim of the next controller.
    */
-  private static final Duration SENT_BACK = Duration.ofSeconds(8);
+  private static final Duration REDIRECT_MEMORY = Duration.ofSeconds(8);
 
-  private static final double CLAIM_SHARE = 0.25;
-  private static final int MAX_SENT_AWAY = 10_000;
-  private static final long FIRST = 1;
-  static final int COME_AGAIN_S = 1;
+  private static final double CLAIM_WRITE_SHARE = 0.25;
+  private static final int MAX_REDIRECTS = 10_000;
+  private static final long FIRST_SESSION = 1;
+  static final int RETRY_AFTER_S = 1;
 
-  /** Told of a worker whose claim has come true, to be answered as the owner's. */
+  /** Answers, as the owner, a worker whose machine has been claimed. */
   interface ClaimListener {
-    void accept(MachineRecord record, Report report, Reply reply);
+    void onClaimed(MachineRecord record, Report report, Reply reply);
   }
 
-  private record Claiming(Report report, Reply reply, Duration until) {}
+  private record WaitingReport(Report report, Reply reply, Duration deadline) {}
 
-  /** A claim under way, with who waits for it; {@code revision} is that of the write, 0 until it is done. */
-  private static final class Open {
-    final List<Claiming> waiting = new ArrayList<>();
+  /**
+   * A claim in progress and the reports that wait for it; {@code revision} is that of the write, 0
+   * until it is committed.
+   */
+  private static final class PendingClaim {
+    final List<WaitingReport> waiting = new ArrayList<>();
     long revision;
   }
 
-  private record SentAway(int times, Duration at) {}
+  private record Redirect(int times, Duration at) {}
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final String label;
   private final String zone;
   private final Predicate<String> unfit;
   private final RecoveryContext recovery;
-  private final Predicate<MachineRecord> usable;
-  private final ClaimListener claimed;
-  private final Map<String, Open> claims = new HashMap<>();
-  private final ClaimBatcher lots;
-  private final Map<String, SentAway> sentAway = new HashMap<>();
+  private final Predicate<MachineRecord> mayAnswer;
+  private final ClaimListener claimListener;
+  private final Map<String, PendingClaim> pendingClaims = new HashMap<>();
+  private final ClaimBatcher claimBatcher;
+  private final Map<String, Redirect> redirects = new HashMap<>();
 
-  /** Claims may use a part of the write limit only: after a crash every machine asks at once. */
-  private final RateBudget claimPace;
+  /** Claims may use only a part of the write limit: after a crash all machines need one at once. */
+  private final RateBudget claimBudget;
 
   /**
-   * @param unfit controllers to which no worker should be sent
-   * @param recovery what to make of owners that don't act, and how their machines are handed over
-   * @param usable whether a record is this controller's own and its worker may be answered under it
+   * @param unfit controllers to which no worker should be redirected
+   * @param recovery judges owners that don't act, and fails their machines over
+   * @param mayAnswer whether a record is this controller's own and its worker may be answered under
+   *     it
    */
   MachineClaims(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
+      ClusterState clusterState,
       String label,
-      String boot,
+      String incarnation,
       String zone,
       double writesPerSecond,
       Predicate<String> unfit,
       RecoveryContext recovery,
-      Predicate<MachineRecord> usable,
-      ClaimListener claimed) {
+      Predicate<MachineRecord> mayAnswer,
+      ClaimListener claimListener) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
+    this.clusterState = clusterState;
     this.label = label;
     this.zone = zone;
     this.unfit = unfit;
     this.recovery = recovery;
-    this.usable = usable;
-    this.claimed = claimed;
-    this.lots = new ClaimBatcher(loop, store, boot);
-    this.claimPace =
+    this.mayAnswer = mayAnswer;
+    this.claimListener = claimListener;
+    this.claimBatcher = new ClaimBatcher(loop, store, incarnation);
+    this.claimBudget =
         new RateBudget(
-            writesPerSecond * CLAIM_SHARE, Math.max(2, writesPerSecond * CLAIM_SHARE * 2), loop.now());
+            writesPerSecond * CLAIM_WRITE_SHARE,
+            Math.max(2, writesPerSecond * CLAIM_WRITE_SHARE * 2),
+            loop.now());
   }
 
   /**
-   * Whether the worker's owner is awaited, or this controller's own copy, which is about to show under
-   * which token the worker is to be answered: then it is asked to come again. The machines of one that
-   * is late are handed over.
+   * Asks the worker to retry, and returns true, if its owner is expected back or is overdue, or if
+   * the record names this controller itself: its own cache is then about to show under which token
+   * the worker must be answered. The machines of an overdue owner are failed over.
    */
-  boolean awaits(MachineRecord record, Reply reply) {
+  boolean deferToExpectedOwner(MachineRecord record, Reply reply) {
     Verdict verdict = verdict(record);
     if (verdict == Verdict.LATE) {
       recovery
           .failoverCoordinator()
-          .failOver(record, record.owner() + " is late and its workers come here");
+          .failOver(record, record.owner() + " is overdue and its workers report here");
     } else if (verdict != Verdict.AWAITED) {
       return false;
     }
-    reply.send(503, Cbor.encode(Responses.error(record.owner() + " is awaited")), COME_AGAIN_S);
+    reply.send(
+        503, Cbor.encode(Responses.error(record.owner() + " is expected back")), RETRY_AFTER_S);
     return true;
   }
 
@@ -129,78 +140,92 @@
   }
 
   /**
-   * A worker that is not ours, and whose owner is not awaited: it is sent to its owner if that one lives
-   * and is no worse for its zone, and claimed if there is none or if it keeps coming although it was
-   * sent away.
+   * Handles the report of a worker that this controller does not own, and whose owner is not
+   * expected back. If the owner is alive, the worker is redirected to it, unless this controller is
+   * in the worker's zone and the owner is not. If there is no live owner and this controller is not
+   * in the worker's zone, the worker is redirected to a controller that is, if one is fit for
+   * workers. In all other cases, and if the worker keeps coming back although it was redirected,
+   * its machine is claimed.
    */
   void claimOrRedirect(MachineRecord record, Report report, Reply reply) {
     Duration now = loop.now();
-    if (record == null && report.session() <= FIRST && world.isGoneMachine(report.machine())) {
-      // A machine counts as gone once its session is over, so this is a late copy of what it said before.
-      reply.send(503, Cbor.encode(Responses.error("the machine is gone")), COME_AGAIN_S);
+    if (record == null
+        && report.session() <= FIRST_SESSION
+        && clusterState.isGoneMachine(report.machine())) {
+      // A machine is declared gone only after its session has ended, so this is a late copy of an
+      // earlier report.
+      reply.send(503, Cbor.encode(Responses.error("the machine is gone")), RETRY_AFTER_S);
       return;
     }
     boolean ownerLives = record != null && verdict(record) == Verdict.HERE;
-    String to = null;
+    String target = null;
     if (ownerLives) {
-      boolean ownerNear = inZone(record.owner(), report.zone());
-      if (ownerNear || !zone.equals(report.zone())) {
-        to = record.owner();
+      boolean ownerInWorkerZone = isInZone(record.owner(), report.zone());
+      if (ownerInWorkerZone || !zone.equals(report.zone())) {
+        target = record.owner();
       }
     } else if (!zone.equals(report.zone())) {
-      to = nearController(report.machine(), report.zone());
+      target = controllerInZone(report.machine(), report.zone());
     }
-    if (to != null) {
-      SentAway before = sentAway.get(report.machine());
-      boolean recent = before != null && now.minus(before.at).compareTo(SENT_BACK) < 0;
+    if (target != null) {
+      Redirect before = redirects.get(report.machine());
+      boolean recent = before != null && now.minus(before.at).compareTo(REDIRECT_MEMORY) < 0;
       int times = recent ? before.times + 1 : 1;
       if (times <= 2) {
-        if (sentAway.size() >= MAX_SENT_AWAY) {
-          sentAway.clear();
+        if (redirects.size() >= MAX_REDIRECTS) {
+          redirects.clear();
         }
-        sentAway.put(report.machine(), new SentAway(times, now));
-        reply.send(421, Cbor.encode(Responses.redirect(to)));
+        redirects.put(report.machine(), new Redirect(times, now));
+        reply.send(421, Cbor.encode(Responses.redirect(target)));
         return;
       }
     }
-    inTurn(record, report, reply);
+    claimWithinBudget(record, report, reply);
   }
 
-  /** Claims the machine, if it is its turn, and answers the worker after that. */
-  void inTurn(MachineRecord record, Report report, Reply reply) {
-    boolean fresh = record == null && world.machineVersion(report.machine()) == 0;
-    if (!fresh && !claims.containsKey(report.machine()) && !claimPace.take(1, true, loop.now())) {
-      // Its former owner may be back before its turn comes, and then nobody need claim it.
+  /** Claims the machine if the claim budget allows it, and answers the worker after that. */
+  void claimWithinBudget(MachineRecord record, Report report, Reply reply) {
+    boolean neverClaimed = record == null && clusterState.machineVersion(report.machine()) == 0;
+    if (!neverClaimed
+        && !pendingClaims.containsKey(report.machine())
+        && !claimBudget.take(1, true, loop.now())) {
+      // Its former owner may be back before the worker's next attempt; then no claim is needed.
       reply.send(503, Cbor.encode(Responses.error("too many machines to claim")));
       return;
     }
-    sentAway.remove(report.machine());
-    claim(record, fresh, report, reply);
+    redirects.remove(report.machine());
+    claim(record, neverClaimed, report, reply);
   }
 
-  private boolean inZone(String controller, String wanted) {
-    ClusterState.ControllerRecord record = world.controllers().get(controller);
-    return record != null && record.zone().equals(wanted);
+  private boolean isInZone(String controller, String targetZone) {
+    ClusterState.ControllerRecord record = clusterState.controllers().get(controller);
+    return record != null && record.zone().equals(targetZone);
   }
 
-  /** A controller of the zone, by the machine's name: all machines at one of them would be its end. */
-  private String nearController(String machine, String wanted) {
-    List<String> near = new ArrayList<>();
-    for (Map.Entry<String, ClusterState.ControllerRecord> entry : world.controllers().entrySet()) {
-      if (entry.getValue().zone().equals(wanted)
+  /**
+   * Picks another controller of the zone by a hash of the machine's name: one controller would be
+   * overloaded by the workers of all machines.
+   */
+  private String controllerInZone(String machine, String targetZone) {
+    List<String> candidates = new ArrayList<>();
+    for (Map.Entry<String, ClusterState.ControllerRecord> entry :
+        clusterState.controllers().entrySet()) {
+      if (entry.getValue().zone().equals(targetZone)
           && !entry.getKey().equals(label)
           && !unfit.test(entry.getKey())) {
-        near.add(entry.getKey());
+        candidates.add(entry.getKey());
       }
     }
-    return near.isEmpty() ? null : near.get(Math.floorMod(machine.hashCode(), near.size()));
+    return candidates.isEmpty()
+        ? null
+        : candidates.get(Math.floorMod(machine.hashCode(), candidates.size()));
   }
 
-  private void claim(MachineRecord before, boolean fresh, Report report, Reply reply) {
+  private void claim(MachineRecord before, boolean neverClaimed, Report report, Reply reply) {
     String name = report.machine();
-    Open open = claims.computeIfAbsent(name, k -> new Open());
-    open.waiting.add(new Claiming(report, reply, loop.now().plus(CLAIM_WAIT)));
-    if (open.waiting.size() > 1) {
+    PendingClaim pending = pendingClaims.computeIfAbsent(name, k -> new PendingClaim());
+    pending.waiting.add(new WaitingReport(report, reply, loop.now().plus(CLAIM_TIMEOUT)));
+    if (pending.waiting.size() > 1) {
       return;
     }
     MachineRecord next =
@@ -214,52 +239,60 @@
             before != null && before.drain(),
             0,
             false);
-    CommitCallback then =
+    CommitCallback callback =
         (result, revision) -> {
           if (result != CommitResult.DONE) {
-            dropClaims(name);
+            failClaim(name);
           } else {
-            open.revision = revision;
-            settle(name);
+            pending.revision = revision;
+            completeClaim(name);
           }
         };
-    if (!fresh) {
-      write(before, next, "report of session " + report.session() + " token " + report.token(), then);
-    } else if (!lots.claim(next, then)) {
-      dropClaims(name);
+    if (!neverClaimed) {
+      writeOwner(
+          before,
+          next,
+          "report of session " + report.session() + " token " + report.token(),
+          callback);
+    } else if (!claimBatcher.claim(next, callback)) {
+      failClaim(name);
     }
   }
 
-  private void dropClaims(String name) {
-    Open open = claims.remove(name);
-    if (open != null) {
-      open.waiting.forEach(
+  private void failClaim(String name) {
+    PendingClaim pending = pendingClaims.remove(name);
+    if (pending != null) {
+      pending.waiting.forEach(
           c -> c.reply.send(503, Cbor.encode(Responses.error("the claim did not succeed"))));
     }
   }
 
-  /** Claims a machine that is this controller's own once more: commands without an answer are void then. */
-  void anew(OwnedMachine machine, MachineRecord record) {
-    machine.claiming = true;
-    write(
+  /**
+   * Claims a machine that this controller owns once more, which invalidates commands that got no
+   * response.
+   */
+  void reclaim(OwnedMachine machine, MachineRecord record) {
+    machine.recordWriteInFlight = true;
+    writeOwner(
         record,
         record.ownedBy(label),
-        "commands without an answer under token " + machine.doubtfulToken,
+        "commands without a response under token " + machine.unconfirmedToken,
         (result, revision) -> {
-          machine.claiming = false;
+          machine.recordWriteInFlight = false;
           if (result != CommitResult.DONE) {
-            machine.quietUntil = loop.now().plusMillis(500);
+            machine.backOffUntil = loop.now().plusMillis(500);
           }
         });
   }
 
-  /** Writes a new owner, on the condition that nobody else has. */
-  void write(
-      MachineRecord before, MachineRecord next, String why, CommitCallback then) {
+  /** Writes a new owner, on the condition that the machine's record has not changed. */
+  void writeOwner(
+      MachineRecord before, MachineRecord next, String reason, CommitCallback callback) {
     String key = ClusterState.machineKey(next.name());
     Condition unchanged =
         before == null
-            ? new Condition(key, world.machineVersion(next.name())) // The mark of one that was gone.
+            // The version of the tombstone, if the machine was gone before.
+            ? new Condition(key, clusterState.machineVersion(next.name()))
             : before.condition();
     store.commitUrgent(
         List.of(unchanged),
@@ -272,48 +305,52 @@
                 next.name(),
                 revision,
                 before == null ? "none" : before.owner() + "@" + before.version(),
-                why);
+                reason);
           } else {
-            log.info("claim failed machine={} result={} because={}", next.name(), result, why);
+            log.info("claim failed machine={} result={} because={}", next.name(), result, reason);
           }
-          then.done(result, revision);
+          callback.done(result, revision);
         });
   }
 
-  /** The records have changed: claims may have come true. */
-  void worldChanged() {
-    List.copyOf(claims.keySet()).forEach(this::settle);
+  /** Completes the claims that the changed cluster state shows. */
+  void onClusterStateChange() {
+    List.copyOf(pendingClaims.keySet()).forEach(this::completeClaim);
   }
 
-  /** Another's lot may have named the machine earlier: then this claim never comes true. */
-  private void settle(String name) {
-    Open open = claims.get(name);
-    MachineRecord record = world.machine(name);
-    if (open == null) {
+  /**
+   * Answers the waiting reports once the cluster state shows this controller as the owner. Another
+   * controller's claim batch may have named the machine earlier: then this claim has no effect, and
+   * it fails once the cluster state includes its write.
+   */
+  private void completeClaim(String name) {
+    PendingClaim pending = pendingClaims.get(name);
+    MachineRecord record = clusterState.machine(name);
+    if (pending == null) {
       return;
     }
-    if (usable.test(record)) {
-      claims.remove(name);
-      open.waiting.forEach(c -> claimed.accept(record, c.report, c.reply));
-    } else if (open.revision > 0 && world.revision() >= open.revision) {
-      dropClaims(name);
+    if (mayAnswer.test(record)) {
+      pendingClaims.remove(name);
+      pending.waiting.forEach(c -> claimListener.onClaimed(record, c.report, c.reply));
+    } else if (pending.revision > 0 && clusterState.revision() >= pending.revision) {
+      failClaim(name);
     }
   }
 
-  /** Gives up on what has taken too long. */
+  /** Fails the claims that have taken too long. */
   void tick(Duration now) {
-    for (String name : List.copyOf(claims.keySet())) {
-      List<Claiming> waiting = claims.get(name).waiting;
-      if (!waiting.isEmpty() && now.compareTo(waiting.get(0).until) > 0) {
-        dropClaims(name);
+    for (String name : List.copyOf(pendingClaims.keySet())) {
+      List<WaitingReport> waiting = pendingClaims.get(name).waiting;
+      if (!waiting.isEmpty() && now.compareTo(waiting.get(0).deadline) > 0) {
+        failClaim(name);
       }
     }
   }
 
-  /** Finds a new owner for a machine whose owner has ended, if that one is late. */
-  void adopt(MachineRecord orphan) {
+  /** Fails over the machines of an owner that is gone and overdue. */
+  void failOverIfOverdue(MachineRecord orphan) {
     if (recovery.ownerLiveness().verdict(orphan.owner()) == Verdict.LATE) {
-      recovery.failoverCoordinator().failOver(orphan, orphan.owner() + " is late and has machines");
+      recovery.failoverCoordinator().failOver(orphan, orphan.owner() + " is overdue and owns machines");
     }
   }
 }
--- a/src/main/java/io/tansystack/workers/MachineView.java
+++ b/src/main/java/io/tansystack/workers/MachineView.java
@@ -20,11 +20,12 @@
 import java.util.Set;
 
 /**
- * What a machine's owner knows of it and tells the other controllers: the newest report, the images
- * thought to be cached, and measured speeds. Reports in it are facts; the rest are hints.
+ * What a machine's owner publishes about it to the other controllers: the newest report, absent
+ * attempts, the images that are probably cached, and measured speeds. Reports are facts; images and
+ * speeds are hints.
  */
 public final class MachineView {
-  /** A recorded, unwanted task attempt that is not on the machine and will not be launched there. */
+  /** An unwanted attempt of a placement that is not on the machine and won't be started there. */
   public record AbsentAttempt(String job, int task, long attempt) {}
 
   private static final TaskReport.State[] STATES = TaskReport.State.values();
@@ -32,38 +33,40 @@
 
   private final Report report;
   private final long token;
-  private final List<AbsentAttempt> voids;
+  private final List<AbsentAttempt> absentAttempts;
   private final Map<String, Double> images;
   private final double fetchGbPerS;
   private final double slowness;
   private final long silentMs;
-  private final boolean unhearing;
+  private final boolean responsesLost;
   private Map<String, List<TaskReport>> exited;
 
   /**
-   * @param token the owner's token; {@code voids} are proofs only while the machine's record still
-   *     has this version
+   * @param token the owner's token; {@code absentAttempts} are proofs only while it is still the
+   *     machine's token
+   * @param images sizes in GB of the images that are probably cached, by name
    * @param fetchGbPerS measured average, 0 if unknown
-   * @param slowness measured run time over predicted, averaged, 0 if unknown
-   * @param unhearing whether its reports arrive and its owner's answers don't
+   * @param slowness measured run time divided by the predicted one, averaged; 0 if unknown
+   * @param silentMs how long the machine has been silent
+   * @param responsesLost whether its reports arrive and its owner's responses don't
    */
   public MachineView(
       Report report,
       long token,
-      List<AbsentAttempt> voids,
+      List<AbsentAttempt> absentAttempts,
       Map<String, Double> images,
       double fetchGbPerS,
       double slowness,
       long silentMs,
-      boolean unhearing) {
+      boolean responsesLost) {
     this.report = report;
     this.token = token;
-    this.voids = voids;
+    this.absentAttempts = absentAttempts;
     this.images = images;
     this.fetchGbPerS = fetchGbPerS;
     this.slowness = slowness;
     this.silentMs = silentMs;
-    this.unhearing = unhearing;
+    this.responsesLost = responsesLost;
   }
 
   public Report report() {
@@ -74,8 +77,8 @@
     return token;
   }
 
-  public List<AbsentAttempt> voids() {
-    return voids;
+  public List<AbsentAttempt> absentAttempts() {
+    return absentAttempts;
   }
 
   public Map<String, Double> images() {
@@ -94,11 +97,14 @@
     return silentMs;
   }
 
-  public boolean unhearing() {
-    return unhearing;
+  public boolean responsesLost() {
+    return responsesLost;
   }
 
-  /** Whether this view says more than the other one. */
+  /**
+   * Whether this view has a higher token than the other one, or the same token and a report that is
+   * not older.
+   */
   public boolean newerThan(MachineView other) {
     if (token != other.token) {
       return token > other.token;
@@ -106,7 +112,7 @@
     return !other.report.newerThan(report);
   }
 
-  /** The job's tasks that the machine reports as ended. */
+  /** The tasks of the job that the machine reports as ended. */
   public List<TaskReport> exitedOf(String job) {
     return exited().getOrDefault(job, List.of());
   }
@@ -124,10 +130,10 @@
   }
 
   /**
-   * The jobs of which it tells something that the other one, of the same session and token, did not.
-   * Most reports only say that work goes on.
+   * The jobs for which this view contains other proofs than the other view, which has the same
+   * session and token. Most reports only show that work continues.
    */
-  public Set<String> provesMoreThan(MachineView other) {
+  public Set<String> jobsWithNewProofs(MachineView other) {
     Set<String> jobs = new HashSet<>();
     exited()
         .forEach(
@@ -136,20 +142,23 @@
                 jobs.add(job);
               }
             });
-    if (!voids.equals(other.voids)) {
-      voids.forEach(v -> jobs.add(v.job));
+    if (!absentAttempts.equals(other.absentAttempts)) {
+      absentAttempts.forEach(absent -> jobs.add(absent.job));
     }
     return jobs;
   }
 
-  /** Tasks that are in the same state; they travel as one, their numbers as ranges. */
-  private record Group(
+  /** Tasks of a job in the same state, which are written as one entry with ranges of indexes. */
+  private record TaskGroup(
       String job, long attempt, TaskReport.State state, TaskReport.Cause cause, boolean saved) {
 
-    /** A key written out for the reason given in {@link TaskId}. */
+    /**
+     * Written out because the generated methods of records are several times slower on the first
+     * compiler tier, as in {@link TaskId}.
+     */
     @Override
     public boolean equals(Object other) {
-      return other instanceof Group group
+      return other instanceof TaskGroup group
           && attempt == group.attempt
           && state == group.state
           && cause == group.cause
@@ -162,16 +171,16 @@
       return (job.hashCode() * 31 + Long.hashCode(attempt)) * 31 + state.ordinal();
     }
 
-    String write(TaskSet numbers) {
-      int why = cause == null ? -1 : cause.ordinal();
-      return state.ordinal() + " " + why + " " + (saved ? 1 : 0) + " " + job + " " + attempt + " "
-          + numbers;
+    String write(TaskSet indexes) {
+      int causeOrdinal = cause == null ? -1 : cause.ordinal();
+      return state.ordinal() + " " + causeOrdinal + " " + (saved ? 1 : 0) + " " + job + " "
+          + attempt + " " + indexes;
     }
 
     static void read(String text, List<TaskReport> into) {
       String[] parts = text.split(" ", 6);
-      int why = Integer.parseInt(parts[1]);
-      TaskReport.Cause cause = why < 0 ? null : CAUSES[why];
+      int causeOrdinal = Integer.parseInt(parts[1]);
+      TaskReport.Cause cause = causeOrdinal < 0 ? null : CAUSES[causeOrdinal];
       TaskReport.State state = STATES[Integer.parseInt(parts[0])];
       boolean saved = parts[2].equals("1");
       long attempt = Long.parseLong(parts[4]);
@@ -183,41 +192,42 @@
     }
   }
 
-  /** The form in which it travels between controllers, hundreds of times a second. */
+  /** Encodes the view as it is sent between controllers, hundreds of times a second. */
   public ObjectNode write() {
     ObjectNode map = Cbor.map();
     map.set("report", report.without().write());
     map.put("token", token).put("bw", fetchGbPerS).put("slow", slowness).put("silent", silentMs);
-    map.put("unhearing", unhearing);
-    Map<Group, BitSet> groups = new LinkedHashMap<>();
+    map.put("unhearing", responsesLost);
+    Map<TaskGroup, BitSet> groups = new LinkedHashMap<>();
     for (TaskReport task : report.tasks()) {
       groups
           .computeIfAbsent(
-              new Group(
+              new TaskGroup(
                   task.task().job(), task.attempt(), task.state(), task.cause(), task.saved()),
               k -> new BitSet())
           .set(task.task().index());
     }
     ArrayNode tasks = map.putArray("tasks");
-    groups.forEach((group, numbers) -> tasks.add(group.write(TaskSet.of(numbers))));
-    ArrayNode list = map.putArray("voids");
-    for (AbsentAttempt v : voids) {
-      list.addObject().put("j", v.job).put("t", v.task).put("a", v.attempt);
+    groups.forEach((group, indexes) -> tasks.add(group.write(TaskSet.of(indexes))));
+    ArrayNode absentList = map.putArray("voids");
+    for (AbsentAttempt absent : absentAttempts) {
+      absentList.addObject().put("j", absent.job).put("t", absent.task).put("a", absent.attempt);
     }
     ObjectNode cached = map.putObject("images");
     images.forEach(cached::put);
     return map;
   }
 
+  /** Decodes what {@link #write} has encoded. */
   public static MachineView read(ObjectNode map) throws InvalidMessageException {
-    List<AbsentAttempt> voids = new ArrayList<>();
+    List<AbsentAttempt> absentAttempts = new ArrayList<>();
     for (JsonNode node : FieldReader.list(map, "voids")) {
-      ObjectNode v = FieldReader.map(node, "voids");
-      voids.add(
+      ObjectNode absent = FieldReader.map(node, "voids");
+      absentAttempts.add(
           new AbsentAttempt(
-              FieldReader.text(v, "j"),
-              (int) FieldReader.integer(v, "t", 0, 1_000_000),
-              FieldReader.integer(v, "a")));
+              FieldReader.text(absent, "j"),
+              (int) FieldReader.integer(absent, "t", 0, 1_000_000),
+              FieldReader.integer(absent, "a")));
     }
     Map<String, Double> images = new LinkedHashMap<>();
     FieldReader.map(map, "images")
@@ -226,7 +236,7 @@
     return new MachineView(
         Report.read(FieldReader.map(map, "report")).with(readTasks(FieldReader.list(map, "tasks"))),
         FieldReader.integer(map, "token"),
-        voids,
+        absentAttempts,
         images,
         FieldReader.amount(map, "bw"),
         FieldReader.amount(map, "slow"),
@@ -238,7 +248,7 @@
     List<TaskReport> tasks = new ArrayList<>();
     try {
       for (JsonNode group : groups) {
-        Group.read(group.textValue(), tasks);
+        TaskGroup.read(group.textValue(), tasks);
       }
     } catch (RuntimeException e) {
       throw new InvalidMessageException("tasks: not as sent by a peer of this version");
--- a/src/main/java/io/tansystack/workers/MachineViewPublisher.java
+++ b/src/main/java/io/tansystack/workers/MachineViewPublisher.java
@@ -5,12 +5,22 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** When the others are told of a machine: at once what proves something, the rest now and then. */
+/**
+ * Publishes the views of this controller's machines to the other controllers: proofs at once, the
+ * rest at intervals.
+ */
 final class MachineViewPublisher {
-  private static final Duration SILENT = Duration.ofSeconds(7);
-  private static final Duration TELL_SILENT = Duration.ofSeconds(3);
-  private static final Duration TELL_HINTS = Duration.ofSeconds(6);
-  private static final Duration TELL_SAME = Duration.ofSeconds(30);
+  /** A machine that has been silent for longer counts as silent. */
+  private static final Duration SILENCE_THRESHOLD = Duration.ofSeconds(7);
+
+  /** Interval for a silent machine. */
+  private static final Duration SILENT_INTERVAL = Duration.ofSeconds(3);
+
+  /** Interval if nothing but hints has changed. */
+  private static final Duration HINTS_INTERVAL = Duration.ofSeconds(6);
+
+  /** Interval if nothing has changed. */
+  private static final Duration UNCHANGED_INTERVAL = Duration.ofSeconds(30);
 
   private final Consumer<MachineView> publish;
 
@@ -18,71 +28,76 @@
     this.publish = publish;
   }
 
-  /** Whether a machine that has not been heard for so long counts as silent. */
-  static boolean silent(Duration silence) {
-    return silence.compareTo(SILENT) > 0;
+  /** Whether a machine that has been silent for this long counts as silent. */
+  static boolean isSilent(Duration silence) {
+    return silence.compareTo(SILENCE_THRESHOLD) > 0;
   }
 
   /**
-   * @param held the owner's token for the machine. It is told once the worker has been answered under
-   *     it: before that nobody knows whether it is there, and work should go elsewhere
+   * Publishes the machine's view if it is due.
+   *
+   * @param ownerToken the owner's token for the machine. It is published once the worker has been
+   *     answered under it: before that it is unknown whether the worker is still there, and work
+   *     should go elsewhere
    */
-  void tell(
+  void publishIfDue(
       OwnedMachine machine,
-      long held,
-      List<MachineView.AbsentAttempt> voids,
+      long ownerToken,
+      List<MachineView.AbsentAttempt> absentAttempts,
       Duration silence,
       Duration now) {
-    boolean met = machine.answeredUnder == held || machine.latest.token() == held;
-    long token = met ? held : machine.latest.token();
-    MachineView old = machine.published;
-    Duration since = now.minus(machine.publishedAt);
-    if (old != null
-        && old.report().tasks() == machine.latest.tasks()
-        && old.report().session() == machine.latest.session()
-        && old.report().token() == machine.latest.token()
-        && (old.report().noticeS() == null) == (machine.latest.noticeS() == null)
-        && old.token() == token
-        && old.unhearing() == machine.unhearing()
-        && old.voids().equals(voids)
-        && since.compareTo(silent(silence) ? TELL_SILENT : TELL_SAME) < 0) {
+    boolean answeredUnderToken =
+        machine.answeredUnderToken == ownerToken || machine.latest.token() == ownerToken;
+    long token = answeredUnderToken ? ownerToken : machine.latest.token();
+    MachineView previous = machine.lastView;
+    Duration sincePublished = now.minus(machine.publishedAt);
+    if (previous != null
+        && previous.report().tasks() == machine.latest.tasks()
+        && previous.report().session() == machine.latest.session()
+        && previous.report().token() == machine.latest.token()
+        && (previous.report().noticeS() == null) == (machine.latest.noticeS() == null)
+        && previous.token() == token
+        && previous.responsesLost() == machine.responsesLost()
+        && previous.absentAttempts().equals(absentAttempts)
+        && sincePublished.compareTo(isSilent(silence) ? SILENT_INTERVAL : UNCHANGED_INTERVAL) < 0) {
       return;
     }
     MachineView view =
         new MachineView(
             machine.latest,
             token,
-            voids,
+            absentAttempts,
             machine.history.images(),
             machine.history.fetchGbPerS(),
             machine.history.slowness(),
             Math.max(0, silence.toMillis()),
-            machine.unhearing());
-    if (old != null
-        && since.compareTo(due(old, view)) < 0
-        && !(silent(silence) && since.compareTo(TELL_SILENT) >= 0)) {
+            machine.responsesLost());
+    if (previous != null
+        && sincePublished.compareTo(minInterval(previous, view)) < 0
+        && !(isSilent(silence) && sincePublished.compareTo(SILENT_INTERVAL) >= 0)) {
       return;
     }
-    machine.published = view;
+    machine.lastView = view;
     machine.publishedAt = now;
     publish.accept(view);
   }
 
   /**
-   * How long after the last telling the next one is due. What placements end by, and what closes or
-   * opens a machine, is told at once; how far its fetches are is a hint and can wait.
+   * How long after the last view the next one is due. Proofs that placements have ended, and
+   * changes that make a machine usable or unusable, are published at once; the progress of image
+   * fetches is a hint and can wait.
    */
-  private static Duration due(MachineView old, MachineView view) {
-    Report before = old.report();
+  private static Duration minInterval(MachineView previous, MachineView view) {
+    Report before = previous.report();
     Report latest = view.report();
-    if (old.token() != view.token()
-        || old.unhearing() != view.unhearing()
+    if (previous.token() != view.token()
+        || previous.responsesLost() != view.responsesLost()
         || before.session() != latest.session()
         || before.token() != latest.token()
         || (before.noticeS() == null) != (latest.noticeS() == null)
-        || !view.provesMoreThan(old).isEmpty()) {
+        || !view.jobsWithNewProofs(previous).isEmpty()) {
       return Duration.ZERO;
     }
-    return before.tasks().equals(latest.tasks()) ? TELL_SAME : TELL_HINTS;
+    return before.tasks().equals(latest.tasks()) ? UNCHANGED_INTERVAL : HINTS_INTERVAL;
   }
 }
--- a/src/main/java/io/tansystack/workers/OwnedMachine.java
+++ b/src/main/java/io/tansystack/workers/OwnedMachine.java
@@ -14,102 +14,137 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What the owner of a machine knows of it, and what it has under way to it. */
+/** What a machine's owner knows of it, and the commands and record writes in progress. */
 final class OwnedMachine {
-  private static final int ENOUGH = 2;
+  /** From this number of signs on, responses are taken for lost. */
+  private static final int MISSED_RESPONSES_LIMIT = 2;
 
   final String name;
   final MachineHistory history;
+
+  /** The newest report, also from responses to commands; null before the first. */
   Report latest;
 
-  /** The newest report that came as such, as it came: the next one often differs in its number only. */
+  /**
+   * The body of the newest report that was not a response to commands. The next one often differs
+   * from it only in its sequence number.
+   */
   private byte[] lastBody;
 
-  /** The newest message that came as a report: one that is no newer is a copy, or was held up. */
-  private Report heard;
+  /**
+   * The newest report that was not a response to commands. A later message that is no newer is a
+   * copy, or was delayed.
+   */
+  private Report lastHeartbeat;
 
-  private ReportHeader lastHead;
-  private Report lastRead;
-  private byte[] answer;
-  private long answerToken = -1;
+  private ReportHeader lastHeader;
+  private Report lastParsed;
+  private byte[] response;
+  private long responseToken = -1;
 
-  /** The newest report's lines by attempt, made once for each report. */
-  Map<TaskAttempt, TaskReport> listed = Map.of();
+  /** The tasks of the newest report by attempt, indexed once for each report. */
+  Map<TaskAttempt, TaskReport> reportedTasks = Map.of();
 
   InetSocketAddress address;
 
-  /** Receipt of the last report that was answered with 200, copies of earlier ones aside. */
+  /**
+   * When the last report that was answered with 200 arrived; copies of earlier ones don't count.
+   */
   Duration answeredAt;
 
-  /** Signs that our answers don't reach it, since it last showed that they do. */
-  private int unheeded;
+  /** Number of signs that responses don't reach the worker, since the last sign that they do. */
+  private int missedResponses;
 
-  /** When the first of them was seen. */
-  private Duration doubtedSince;
+  /** When the first of these signs was seen. */
+  private Duration missedResponsesSince;
 
-  /** The token under which that was answered. */
-  long answeredUnder = -1;
+  /** The token under which the last report was answered; -1 for none. */
+  long answeredUnderToken = -1;
 
   private Duration formerOwnerUntil;
 
-  /** Nothing is wanted of it as things stand, until it reports or something is recorded on it. */
-  boolean settled;
+  /**
+   * Whether the machine needs no commands until it reports something new or the records that
+   * concern it change.
+   */
+  boolean nothingToSend;
 
-  /** Forgetting alone is not worth a request of its own before this. */
-  Duration forgetAt;
+  /** Before this moment, forget commands alone are not worth a request. */
+  Duration forgetsDueAt;
 
   /**
-   * The record's version that its deletion names, while that may still be applied. The worker may
-   * come back meanwhile, in its next session: it must have another record before anything starts
-   * on it, or what starts would count as gone with the old one.
+   * The record version that a deletion has as its condition, while that deletion may still be
+   * applied; -1 for none. The worker may come back meanwhile, in its next session: the machine must
+   * have another record before any task starts on it, or the task would be taken for ended when the
+   * old record is gone.
    */
-  long goneVersion = -1;
+  long deletionVersion = -1;
+
+  /** The revision of the record that makes this controller the owner. */
+  private long ownedSince;
+
+  /** Whether its last report was refused because cancelled tasks on it can't be stopped. */
+  boolean leftToExpire;
 
-  /** The revision of the record by which it is held. */
-  private long heldSince;
+  boolean commandsInFlight;
 
-  /** Whether its last report was refused since cancelled work on it can't be stopped. */
-  boolean leftToItsLease;
+  /** The token under which commands got no response and may still be executed; -1 for none. */
+  long unconfirmedToken = -1;
 
-  boolean ordersInFlight;
-  long doubtfulToken = -1;
-  boolean claiming;
-  int failures;
-  Duration quietUntil = Duration.ZERO;
-  final Map<TaskAttempt, Duration> halted = new HashMap<>();
-  MachineView published;
+  /** Whether a claim or the deletion of its record is being written. */
+  boolean recordWriteInFlight;
+
+  /** Requests with commands that got no response, one after the other; counted up to 4. */
+  int commandFailures;
+
+  /** No commands are sent before this moment. */
+  Duration backOffUntil = Duration.ZERO;
+
+  /** When a stop command was last sent for an attempt. */
+  final Map<TaskAttempt, Duration> stopSentAt = new HashMap<>();
+
+  /** The last published view; null for none. */
+  MachineView lastView;
   Duration publishedAt = Duration.ZERO;
 
   /**
-   * @param heldSince the revision of the record by which it is this controller's
-   * @param formerUntil the latest moment at which a former owner can answer its worker
+   * @param ownedSince the revision of the record that makes this controller the owner
+   * @param formerOwnerUntil the latest moment at which a former owner can answer its worker
    */
   OwnedMachine(
-      String name, MachineHistory history, Duration now, long heldSince, Duration formerUntil) {
+      String name,
+      MachineHistory history,
+      Duration now,
+      long ownedSince,
+      Duration formerOwnerUntil) {
     this.name = name;
     this.history = history;
-    this.heldSince = heldSince;
+    this.ownedSince = ownedSince;
     this.answeredAt = now;
-    this.formerOwnerUntil = formerUntil;
-    this.forgetAt = now.plus(CommandSender.FORGET_WAIT);
+    this.formerOwnerUntil = formerOwnerUntil;
+    this.forgetsDueAt = now.plus(CommandSender.FORGET_DELAY);
   }
 
   /**
-   * It is held by the record of this revision. Where that has changed, somebody else may have held it in
-   * between, unseen where both changes came at once, and have answered its worker.
+   * Updates the revision of the record that makes this controller the owner. If it has changed,
+   * another controller may have owned the machine in between and answered its worker. This
+   * controller has not seen that if both changes arrived at once.
+   *
+   * @param formerUntil the latest moment at which a former owner can answer the worker
    */
-  void heldSince(long revision, Duration formerUntil) {
-    if (heldSince != revision) {
-      heldSince = revision;
+  void updateOwnedSince(long revision, Duration formerUntil) {
+    if (ownedSince != revision) {
+      ownedSince = revision;
       formerOwnerUntil = formerUntil;
     }
   }
 
   /**
-   * The worker has shown this controller's token, in whatever message: from now on it drops the answers of
-   * former owners. Until now it may have taken them, whoever answered it before.
+   * The worker has reported this controller's token, in any kind of message: from now on it drops
+   * the responses of former owners. Until now it may have accepted them, even if this controller
+   * has answered it before.
    */
-  void tokenShown(Duration now) {
+  void onTokenReported(Duration now) {
     if (now.compareTo(formerOwnerUntil) < 0) {
       formerOwnerUntil = now;
     }
@@ -120,89 +155,101 @@
     return formerOwnerUntil;
   }
 
-  /** The latest moment from which the worker's lease can count: an answer of this owner or a former one. */
+  /**
+   * The latest moment from which the worker's lease can count: that of a response of this owner or
+   * of a former one.
+   */
   Duration lastAnswerAt() {
     return formerOwnerUntil.compareTo(answeredAt) > 0 ? formerOwnerUntil : answeredAt;
   }
 
-  /** Reads a report; one that repeats the one before is known by its bytes. */
-  Report read(ReportHeader head, byte[] body) throws InvalidMessageException {
-    if (lastBody != null && head.sameRest(body, lastHead, lastBody)) {
-      return lastRead.numbered(head.seq());
+  /**
+   * Reads a report. One that repeats the report before it, but for the sequence number, is
+   * recognized by its bytes and not decoded again.
+   */
+  Report read(ReportHeader header, byte[] body) throws InvalidMessageException {
+    if (lastBody != null && header.sameRest(body, lastHeader, lastBody)) {
+      return lastParsed.numbered(header.seq());
     }
-    lastRead = Report.read(body);
-    lastHead = head;
+    lastParsed = Report.read(body);
+    lastHeader = header;
     lastBody = body;
-    return lastRead;
+    return lastParsed;
   }
 
   /**
-   * A report came and is answered under the token. The worker's lease counts from the sending of a report
-   * that it had an answer to. A copy gets no answer to where it counts, and what it repeats was answered
-   * when it came first, or given up by the worker before it sent the newer one: it renews nothing.
+   * Notes that a report has arrived and is answered under the token. The worker's lease counts from
+   * when it sent a report that it got a response to. A copy of an earlier report renews nothing: no
+   * request of the worker waits for the response to it, and the original was answered when it
+   * arrived, or the worker had given up on it before it sent the newer report.
    *
-   * <p>Reports may arrive while no answer reaches the worker. Then it doesn't show the token that it was
-   * told, reports to others between two reports to us, or begins a new session though it was answered.
+   * <p>Reports may arrive while no response reaches the worker. Then it doesn't report the token
+   * that it was given, it reports to other controllers between two reports to this one, or it
+   * begins a new session although it was answered.
    */
-  void answered(Report report, long token, Duration now) {
-    if (heard != null && !report.newerThan(heard)) {
+  void onAnswered(Report report, long token, Duration now) {
+    if (lastHeartbeat != null && !report.newerThan(lastHeartbeat)) {
       return;
     }
-    boolean heeds = true;
-    if (heard != null && answeredUnder >= 0) {
-      long elsewhere = report.seq() - Math.max(heard.seq(), latest.seq()) - 1;
-      boolean again = report.session() > heard.session();
-      boolean ignores = report.token() < answeredUnder;
-      heeds = elsewhere <= 0 && !again && !ignores;
-      // Sent back by one other controller it may have been; who hears is not sent to a second one.
-      if (!heeds) {
-        doubt(again || elsewhere > 1 ? ENOUGH : 1, now);
+    boolean receivesResponses = true;
+    if (lastHeartbeat != null && answeredUnderToken >= 0) {
+      long reportsElsewhere = report.seq() - Math.max(lastHeartbeat.seq(), latest.seq()) - 1;
+      boolean newSession = report.session() > lastHeartbeat.session();
+      boolean reportsOldToken = report.token() < answeredUnderToken;
+      receivesResponses = reportsElsewhere <= 0 && !newSession && !reportsOldToken;
+      // A single report to another controller proves nothing: the worker may have been redirected
+      // here again. A worker that receives responses is not redirected to a second controller.
+      if (!receivesResponses) {
+        countMissedResponses(newSession || reportsElsewhere > 1 ? MISSED_RESPONSES_LIMIT : 1, now);
       }
     }
-    if (heeds && report.token() == token) {
-      unheeded = 0;
+    if (receivesResponses && report.token() == token) {
+      missedResponses = 0;
     }
-    heard = report.without();
+    lastHeartbeat = report.without();
     answeredAt = now;
-    answeredUnder = token;
+    answeredUnderToken = token;
   }
 
-  /** Commands to it had no answer. */
-  void ignoredCommands(Duration now) {
-    doubt(1, now);
+  /** Notes that commands to the worker got no response. */
+  void onCommandsUnanswered(Duration now) {
+    countMissedResponses(1, now);
   }
 
-  private void doubt(int signs, Duration now) {
-    doubtedSince = unheeded == 0 ? now : doubtedSince;
-    unheeded += signs;
+  private void countMissedResponses(int count, Duration now) {
+    missedResponsesSince = missedResponses == 0 ? now : missedResponsesSince;
+    missedResponses += count;
   }
 
-  /** The last moment at which it was heard and nothing said that it doesn't hear. */
-  Duration soundAt() {
-    return unhearing() ? doubtedSince : answeredAt;
+  /**
+   * The last moment at which a report had arrived and nothing indicated that responses don't reach
+   * the worker.
+   */
+  Duration lastHealthyAt() {
+    return responsesLost() ? missedResponsesSince : answeredAt;
   }
 
-  /** Whether it is heard, and does not hear this controller. */
-  boolean unhearing() {
-    return unheeded >= ENOUGH;
+  /** Whether reports of the worker arrive while responses and commands don't reach it. */
+  boolean responsesLost() {
+    return missedResponses >= MISSED_RESPONSES_LIMIT;
   }
 
-  /** What its reports are answered with under the token. */
-  byte[] answer(long token) {
-    if (answerToken != token) {
-      answerToken = token;
-      answer = Cbor.encode(Responses.report(token));
+  /** The encoded response to a report under the token. */
+  byte[] response(long token) {
+    if (responseToken != token) {
+      responseToken = token;
+      response = Cbor.encode(Responses.report(token));
     }
-    return answer;
+    return response;
   }
 
-  /** Takes in a report that says something new. */
-  void take(Report report) {
+  /** Makes a report that contains something new the latest one. */
+  void apply(Report report) {
     latest = report;
-    listed = new LinkedHashMap<>();
+    reportedTasks = new LinkedHashMap<>();
     for (TaskReport task : report.tasks()) {
-      listed.put(new TaskAttempt(task.task(), task.attempt()), task);
+      reportedTasks.put(new TaskAttempt(task.task(), task.attempt()), task);
     }
-    settled = false;
+    nothingToSend = false;
   }
 }
--- a/src/main/java/io/tansystack/workers/OwnedMachines.java
+++ b/src/main/java/io/tansystack/workers/OwnedMachines.java
@@ -16,79 +16,90 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The machines that this controller owns by its copy of the records. */
+/** The machines that this controller owns according to the cluster state. */
 final class OwnedMachines {
   private static final Logger log = LoggerFactory.getLogger(OwnedMachines.class);
 
-  /** A line names so many machines at most. */
-  private static final int MOST_NAMED = 40;
+  /** Most machines that are named in one log line. */
+  private static final int MAX_LOGGED = 40;
 
-  /** Of a type that is not known. */
-  private static final double USUAL_CACHE_GB = 50;
+  /** Assumed image cache size of a machine whose type is unknown. */
+  private static final double DEFAULT_CACHE_GB = 50;
 
   private final EventLoop loop;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final ControllerLease lease;
   private final String label;
-  private final Function<String, MachineType> types;
+  private final Function<String, MachineType> machineTypes;
   private final Function<String, MachineView> views;
   private final Map<String, OwnedMachine> machines = new LinkedHashMap<>();
 
-  /** Those that came to be this controller's since it was last told. */
+  /** Machines that became this controller's own since they were last logged. */
   private final List<String> acquired = new ArrayList<>();
 
   OwnedMachines(
       EventLoop loop,
-      ClusterState world,
+      ClusterState clusterState,
       ControllerLease lease,
       String label,
-      Function<String, MachineType> types,
+      Function<String, MachineType> machineTypes,
       Function<String, MachineView> views) {
     this.loop = loop;
-    this.world = world;
+    this.clusterState = clusterState;
     this.lease = lease;
     this.label = label;
-    this.types = types;
+    this.machineTypes = machineTypes;
     this.views = views;
   }
 
-  /** Null for a machine that is not this controller's, or not yet seen to be. */
+  /** Null for a machine that this controller does not own, or has not yet noticed that it owns. */
   OwnedMachine get(String name) {
     return machines.get(name);
   }
 
-  /** What is known of a machine that is this controller's by its record; a former owner may still act. */
-  OwnedMachine of(MachineRecord record) {
+  /**
+   * Returns the state of a machine that this controller owns by the record, and begins to track it
+   * if it is new. Its former owner may still act then.
+   */
+  OwnedMachine getOrAdd(MachineRecord record) {
     return machines.computeIfAbsent(record.name(), name -> acquire(record));
   }
 
   private OwnedMachine acquire(MachineRecord record) {
-    MachineType type = types.apply(record.type());
+    MachineType type = machineTypes.apply(record.type());
     MachineHistory history =
-        new MachineHistory(type == null ? USUAL_CACHE_GB : type.cacheGb());
-    MachineView old = views.apply(record.name());
-    if (old != null) {
-      history.inherit(old.images(), old.fetchGbPerS());
+        new MachineHistory(type == null ? DEFAULT_CACHE_GB : type.cacheGb());
+    MachineView lastView = views.apply(record.name());
+    if (lastView != null) {
+      history.inherit(lastView.images(), lastView.fetchGbPerS());
     }
     acquired.add(record.name());
     Duration now = loop.now();
-    return new OwnedMachine(record.name(), history, now, heldSince(record), formerUntil(now));
+    return new OwnedMachine(record.name(), history, now, ownedSince(record), formerOwnerUntil(now));
   }
 
-  /** The record, which is this controller's, may be a later one than the machine was held by. */
+  /**
+   * Notes the machine's record, which may be a later one than that by which it was owned so far.
+   */
   void observe(OwnedMachine machine, MachineRecord record, Duration now) {
-    machine.heldSince(heldSince(record), formerUntil(now));
+    machine.updateOwnedSince(ownedSince(record), formerOwnerUntil(now));
   }
 
-  /** By which record it is this controller's: that of its own registration, or one that names it an heir. */
-  private long heldSince(MachineRecord record) {
+  /**
+   * The revision of the record that makes this controller the owner: its own registration if it
+   * claimed the machine, otherwise the failover record that names it as a successor.
+   */
+  private long ownedSince(MachineRecord record) {
     return record.claimant().equals(label)
-        ? world.controllers().get(label).version()
+        ? clusterState.controllers().get(label).version()
         : record.ownedSince();
   }
 
-  /** A former owner whose copy of the records ended just now may act until then. */
-  private Duration formerUntil(Duration now) {
+  /**
+   * The latest moment at which a former owner can act: one whose cluster state cache was up to date
+   * until just now keeps acting until then.
+   */
+  private Duration formerOwnerUntil(Duration now) {
     return now.plus(lease.leaseDuration());
   }
 
@@ -104,38 +115,41 @@
     return machines.size();
   }
 
-  /** A view of them as they are. */
+  /** A live view of the machines. */
   Collection<OwnedMachine> all() {
     return machines.values();
   }
 
-  /** Their names as of now. */
+  /** A copy of the machines' names. */
   Collection<String> names() {
     return List.copyOf(machines.keySet());
   }
 
-  /** What the others were last told of each machine: one that starts anew needs all of it. */
-  List<MachineView> told() {
-    List<MachineView> told = new ArrayList<>();
+  /** The last published view of each machine; a controller that has just started needs them all. */
+  List<MachineView> publishedViews() {
+    List<MachineView> published = new ArrayList<>();
     for (OwnedMachine machine : machines.values()) {
-      if (machine.published != null) {
-        told.add(machine.published);
+      if (machine.lastView != null) {
+        published.add(machine.lastView);
       }
     }
-    return told;
+    return published;
   }
 
-  /** Logs which machines have come to be this controller's since the last time, and by which copy. */
+  /**
+   * Logs which machines became this controller's own since the last call, and the revision of the
+   * cluster state that shows it.
+   */
   void logAcquired() {
     if (acquired.isEmpty()) {
       return;
     }
-    List<String> named = acquired.subList(0, Math.min(MOST_NAMED, acquired.size()));
+    List<String> named = acquired.subList(0, Math.min(MAX_LOGGED, acquired.size()));
     log.info(
         "owns {} more machines={} copy={}{}",
         acquired.size(),
         named,
-        world.revision(),
+        clusterState.revision(),
         named.size() < acquired.size() ? " and others" : "");
     acquired.clear();
   }
--- a/src/main/java/io/tansystack/workers/TerminationProofs.java
+++ b/src/main/java/io/tansystack/workers/TerminationProofs.java
@@ -15,36 +15,37 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The proofs that placements are over. Nothing else ends a placement: not silence, not a missing line
- * in a list, not a closed connection. The four kinds:
+ * Proofs that attempts of a job's tasks have ended. Nothing else ends a placement: not silence, not
+ * absence from a list of tasks, not a closed connection. There are four kinds of proof:
  *
  * <ol>
- *   <li>the machine reports that attempt as ended;
- *   <li>the machine reports a later session than the placement's: what it had was killed, and a
- *       launch names the session, so none can come any more;
- *   <li>the machine's record is gone: it is deleted only after the cloud confirmed the deletion, or
- *       after the worker's lease has run out for certain;
- *   <li>the owner says that an unwanted attempt is not there and that it won't launch it. This holds
- *       only while that owner holds the machine, so the write that drops the placement carries the
- *       machine's version as a condition. A restarted owner keeps the machine under a later token;
- *       it acts on records that show the attempt as unwanted too, so it won't launch it either.
+ *   <li>the machine reports the attempt as ended;
+ *   <li>the machine reports a later session than the placement's: the tasks of the earlier session
+ *       were killed, and a start command names its session, so none can be started in it any more;
+ *   <li>the machine's record is gone: it is deleted only after the cloud has confirmed the
+ *       machine's deletion, or after the worker's lease has certainly expired; <li>the owner
+ *       confirms that an unwanted attempt is not on the machine and that it won't start it. This is
+ *       true only while that owner owns the machine, so the write that removes the placement has
+ *       the machine's version as a condition. A restarted owner keeps the machine under a higher
+ *       token; it acts on records that show the attempt as unwanted too, so it won't start it
+ *       either.
  * </ol>
  *
- * @param over what is over
- * @param conditions versions that must still hold when this is written down
- * @param failures what went wrong with some of them
- * @param grounds what each of it rests on, for the log
+ * @param ended attempts that have ended
+ * @param conditions versions that must still hold when the proofs are written to the job's record
+ * @param failures those of the attempts that failed
+ * @param evidence what proves that the attempts have ended, for the log
  */
 public record TerminationProofs(
-    List<EndedAttempt> over,
+    List<EndedAttempt> ended,
     List<Condition> conditions,
     List<Failure> failures,
-    List<Evidence> grounds) {
+    List<Evidence> evidence) {
 
-  /** An attempt that ended by something else than its completion or a stop. */
+  /** An attempt that ended neither by its completion nor by a stop. */
   public record Failure(int task, long attempt, String machine, Cause cause) {}
 
-  /** Which of the four proofs. */
+  /** The four kinds of proof. */
   public enum ProofKind {
     ENDED("ended"),
     LATER_SESSION("later session"),
@@ -59,10 +60,10 @@
   }
 
   /**
-   * Why tasks of a placement are over.
+   * Why tasks of a placement have ended.
    *
-   * @param session the session that the machine reported; 0 if nothing is known of it
-   * @param token under which its owner has told that
+   * @param session the session that the machine reported; 0 if no view of it is known
+   * @param token the token under which its owner published that; 0 if no view of it is known
    */
   public record Evidence(
       ProofKind kind, String machine, long attempt, TaskSet tasks, long session, long token) {
@@ -74,8 +75,12 @@
   }
 
   /**
-   * @param maxConditions a transaction holds so many only. Proofs beyond that are left for the next
-   *     one: a job whose round could never be written would be stuck for ever
+   * Collects the proofs for the placements of a job.
+   *
+   * @param tokens the current token of a machine
+   * @param maxConditions the number of conditions that a transaction can hold. Proofs beyond that
+   *     are left for the next transaction: a job would be stuck permanently if its proofs never
+   *     fitted
    */
   public static TerminationProofs collect(
       String job,
@@ -89,85 +94,87 @@
       MachineRecord machine = machines.apply(placement.machine());
       MachineView view = views.apply(placement.machine());
       if (machine == null) {
-        collector.all(placement, view, ProofKind.RECORD_GONE);
+        collector.addAll(placement, view, ProofKind.RECORD_GONE);
       } else if (view != null && view.report().session() > placement.session()) {
-        collector.all(placement, view, ProofKind.LATER_SESSION);
+        collector.addAll(placement, view, ProofKind.LATER_SESSION);
       } else if (view != null && view.report().session() == placement.session()) {
         if (!view.exitedOf(job).isEmpty()) {
-          collector.ended(placement, view);
+          collector.addReported(placement, view);
         }
-        if (!view.voids().isEmpty() && view.token() == tokens.applyAsLong(machine)) {
-          collector.saidAbsent(placement, view, machine.condition());
+        if (!view.absentAttempts().isEmpty() && view.token() == tokens.applyAsLong(machine)) {
+          collector.addConfirmedAbsent(placement, view, machine.condition());
         }
       }
     }
-    return collector.found();
+    return collector.result();
   }
 
-  /** Gathers the proofs for one job, placement by placement. */
+  /** Collects the proofs for one job, placement by placement. */
   private static final class Collector {
     private final String job;
     private final int maxConditions;
-    private final List<EndedAttempt> over = new ArrayList<>();
+    private final List<EndedAttempt> ended = new ArrayList<>();
     private final List<Condition> conditions = new ArrayList<>();
     private final List<Failure> failures = new ArrayList<>();
-    private final List<Evidence> grounds = new ArrayList<>();
+    private final List<Evidence> evidence = new ArrayList<>();
 
     Collector(String job, int maxConditions) {
       this.job = job;
       this.maxConditions = maxConditions;
     }
 
-    TerminationProofs found() {
-      return new TerminationProofs(over, conditions, failures, grounds);
+    TerminationProofs result() {
+      return new TerminationProofs(ended, conditions, failures, evidence);
     }
 
-    /** Everything of the placement is over. */
-    void all(Placement p, MachineView view, ProofKind kind) {
-      p.tasks().forEach(task -> over.add(new EndedAttempt(task, p.attempt(), p.machine(), false)));
-      ground(p, view, kind, p.tasks());
+    /** Adds all tasks of the placement. */
+    void addAll(Placement p, MachineView view, ProofKind kind) {
+      p.tasks().forEach(task -> ended.add(new EndedAttempt(task, p.attempt(), p.machine(), false)));
+      addEvidence(p, view, kind, p.tasks());
     }
 
-    /** What the machine reports as ended, in the session of the placement. */
-    void ended(Placement p, MachineView view) {
-      BitSet ended = new BitSet();
+    /** Adds the tasks that the machine reports as ended, in the session of the placement. */
+    void addReported(Placement p, MachineView view) {
+      BitSet indexes = new BitSet();
       for (TaskReport task : view.exitedOf(job)) {
         int index = task.task().index();
         if (task.attempt() != p.attempt() || !p.tasks().contains(index)) {
           continue;
         }
-        over.add(new EndedAttempt(index, p.attempt(), p.machine(), task.cause() == Cause.DONE));
-        ended.set(index);
+        ended.add(new EndedAttempt(index, p.attempt(), p.machine(), task.cause() == Cause.DONE));
+        indexes.set(index);
         if (task.cause() != Cause.DONE && task.cause() != Cause.STOPPED) {
           failures.add(new Failure(index, p.attempt(), p.machine(), task.cause()));
         }
       }
-      ground(p, view, ProofKind.ENDED, TaskSet.of(ended));
+      addEvidence(p, view, ProofKind.ENDED, TaskSet.of(indexes));
     }
 
-    /** What the machine's owner says is unwanted and not there; holds under the condition. */
-    void saidAbsent(Placement p, MachineView view, Condition owner) {
-      if (conditions.size() >= maxConditions && !conditions.contains(owner)) {
+    /** Adds the attempts that the owner confirms as absent, which is true under the condition. */
+    void addConfirmedAbsent(Placement p, MachineView view, Condition ownerUnchanged) {
+      if (conditions.size() >= maxConditions && !conditions.contains(ownerUnchanged)) {
         return;
       }
-      BitSet absent = new BitSet();
-      for (MachineView.AbsentAttempt v : view.voids()) {
-        if (v.job().equals(job) && v.attempt() == p.attempt() && p.tasks().contains(v.task())) {
-          over.add(new EndedAttempt(v.task(), p.attempt(), p.machine(), false));
-          absent.set(v.task());
+      BitSet indexes = new BitSet();
+      for (MachineView.AbsentAttempt attempt : view.absentAttempts()) {
+        if (attempt.job().equals(job)
+            && attempt.attempt() == p.attempt()
+            && p.tasks().contains(attempt.task())) {
+          ended.add(new EndedAttempt(attempt.task(), p.attempt(), p.machine(), false));
+          indexes.set(attempt.task());
         }
       }
-      if (!absent.isEmpty() && !conditions.contains(owner)) {
-        conditions.add(owner);
+      if (!indexes.isEmpty() && !conditions.contains(ownerUnchanged)) {
+        conditions.add(ownerUnchanged);
       }
-      ground(p, view, ProofKind.OWNERS_WORD, TaskSet.of(absent));
+      addEvidence(p, view, ProofKind.OWNERS_WORD, TaskSet.of(indexes));
     }
 
-    private void ground(Placement p, MachineView view, ProofKind kind, TaskSet tasks) {
+    private void addEvidence(Placement p, MachineView view, ProofKind kind, TaskSet tasks) {
       if (!tasks.isEmpty()) {
         long session = view == null ? 0 : view.report().session();
         long token = view == null ? 0 : view.token();
-        grounds.add(new Evidence(kind, p.machine(), p.attempt(), tasks, session, token));
+        evidence.add(new Evidence(kind, p.machine(), p.attempt(), tasks, session, token));
       }
     }
   }
--- a/src/main/java/io/tansystack/workers/WorkerLeaseMonitor.java
+++ b/src/main/java/io/tansystack/workers/WorkerLeaseMonitor.java
@@ -13,22 +13,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Declares machines gone whose workers' leases have run out unanswered, by removing their records. */
+/**
+ * Declares machines gone whose workers' leases have expired without an answered report, by deleting
+ * their records.
+ */
 final class WorkerLeaseMonitor {
   private static final Logger log = LoggerFactory.getLogger(WorkerLeaseMonitor.class);
 
-  /** Workers try one controller after the other, and each report has 4 s. */
-  private static final Duration COME_BACK = Duration.ofSeconds(10);
+  /** Workers try one controller after the other, with a timeout of 4 s for each report. */
+  private static final Duration RECONNECT_TIME = Duration.ofSeconds(10);
 
-  /** Steady clocks drift apart by up to 0.05%: this part of a span is four times that. */
-  private static final int DRIFT_PART = 500;
+  /** Monotonic clocks drift apart by up to 0.05%; a span divided by this is four times that. */
+  private static final int DRIFT_DIVISOR = 500;
 
-  /** Timers fire in steps, and late. */
-  private static final Duration MARGIN = Duration.ofSeconds(1);
+  /** Timers have a coarse resolution and fire late. */
+  private static final Duration TIMER_MARGIN = Duration.ofSeconds(1);
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final ControllerLease lease;
   private final String label;
   private final Duration workerLease;
@@ -36,70 +39,71 @@
   WorkerLeaseMonitor(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
+      ClusterState clusterState,
       ControllerLease lease,
       String label,
       Duration workerLease) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
+    this.clusterState = clusterState;
     this.lease = lease;
     this.label = label;
     this.workerLease = workerLease;
   }
 
   /**
-   * Declares the machine gone if its worker's lease has run out for certain. A controller that was cut off
-   * itself waits for its workers to come back first: their next session proves as much without a write for
-   * each.
+   * Declares the machine gone if its worker's lease has certainly expired. A controller that was
+   * cut off itself first waits for its workers to come back: their next session proves the same
+   * without a write for each machine.
    *
-   * @param record the machine's, which is this controller's own
-   * @param listeningSince since when reports were heard and answered
+   * @param record the machine's record, by which this controller owns it
+   * @param listeningSince since when reports have been received and answered
    */
-  void judge(OwnedMachine machine, MachineRecord record, Duration listeningSince) {
-    if (!lease.valid() || machine.claiming) {
+  void declareGoneIfExpired(OwnedMachine machine, MachineRecord record, Duration listeningSince) {
+    if (!lease.valid() || machine.recordWriteInFlight) {
       return;
     }
-    Duration sure = leaseEndsBefore(machine);
+    Duration leaseEndsBy = leaseEndsBy(machine);
     Duration now = loop.now();
-    if (now.compareTo(sure) < 0 || now.minus(listeningSince).compareTo(COME_BACK) < 0) {
+    if (now.compareTo(leaseEndsBy) < 0 || now.minus(listeningSince).compareTo(RECONNECT_TIME) < 0) {
       return;
     }
-    String grounds = grounds(machine, record, now);
-    // An earlier one without an answer may still be applied, whatever becomes of this one.
-    boolean doubtful = machine.goneVersion == record.version();
-    machine.claiming = true;
-    machine.goneVersion = record.version();
+    String evidence = evidence(machine, record, now);
+    // An earlier deletion that got no response may still be applied, whatever becomes of this one.
+    boolean earlierDeletionPending = machine.deletionVersion == record.version();
+    machine.recordWriteInFlight = true;
+    machine.deletionVersion = record.version();
     store.commitUrgent(
-        OwnershipConditions.stillOwnedBy(world, record, label),
-        List.of(world.deletion(machine.name)),
+        OwnershipConditions.stillOwnedBy(clusterState, record, label),
+        List.of(clusterState.deletion(machine.name)),
         Duration.ofSeconds(2),
         (result, revision) -> {
-          machine.claiming = false;
+          machine.recordWriteInFlight = false;
           boolean refused = result == CommitResult.REFUSED || result == CommitResult.MALFORMED;
-          if (result == CommitResult.CONFLICT || (refused && !doubtful)) {
-            machine.goneVersion = -1; // It was not applied and won't be.
+          if (result == CommitResult.CONFLICT || (refused && !earlierDeletionPending)) {
+            machine.deletionVersion = -1; // It was not applied and won't be any more.
           }
           if (result == CommitResult.DONE) {
             log.warn(
                 "gone machine={} because=its lease has run out unanswered {}",
                 machine.name,
-                grounds);
-          } else if (!doubtful) {
-            log.info("not known to be gone machine={} result={} {}", machine.name, result, grounds);
+                evidence);
+          } else if (!earlierDeletionPending) {
+            log.info(
+                "not known to be gone machine={} result={} {}", machine.name, result, evidence);
           }
         });
   }
 
-  /** On what the departure rests, for its log line; written when it was decided. */
-  private String grounds(OwnedMachine machine, MachineRecord record, Duration now) {
+  /** The facts on which the deletion is based, for its log line; collected when it is decided. */
+  private String evidence(OwnedMachine machine, MachineRecord record, Duration now) {
     Report latest = machine.latest;
     return "claimant="
         + record.claimant()
         + "@"
         + record.version()
         + " token="
-        + world.token(record)
+        + clusterState.token(record)
         + " session="
         + (latest == null ? "unheard" : latest.session())
         + " shown="
@@ -109,15 +113,16 @@
         + "ms former="
         + now.minus(machine.formerOwnerUntil()).toMillis()
         + "ms copy="
-        + world.revision();
+        + clusterState.revision();
   }
 
   /**
-   * A moment by which the worker's lease has run out unless this controller has answered it since: the lease
-   * counts from when the last answered report was sent, which was before its owner received it.
+   * A moment by which the worker's lease has expired unless this controller answers it again: the
+   * lease counts from when the last answered report was sent, which was before its owner received
+   * it.
    */
-  private Duration leaseEndsBefore(OwnedMachine machine) {
-    Duration drift = workerLease.dividedBy(DRIFT_PART);
-    return machine.lastAnswerAt().plus(workerLease).plus(drift).plus(MARGIN);
+  private Duration leaseEndsBy(OwnedMachine machine) {
+    Duration drift = workerLease.dividedBy(DRIFT_DIVISOR);
+    return machine.lastAnswerAt().plus(workerLease).plus(drift).plus(TIMER_MARGIN);
   }
 }
--- a/src/main/java/io/tansystack/workers/WorkerManager.java
+++ b/src/main/java/io/tansystack/workers/WorkerManager.java
@@ -36,342 +36,364 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The owner's side of the machines: claims, answers to reports, and commands.
+ * The owner's side of the machines: claims, responses to reports, and commands.
  *
- * <p>A machine's token is that of {@link ClusterState#token}, so every claim has a higher one. Commands go out
- * by {@code /orders} alone, one request at a time for each machine, and only while the newest report
- * shows the current token: then every command sent under an earlier one is void. What to send follows
- * from the records and that report; nothing needs to be remembered of what was sent before. A request
- * without an answer may still arrive, so it is followed by a new claim, whose token makes it void.
+ * <p>A machine's token is that of {@link ClusterState#token}, so every claim has a higher one.
+ * Commands are sent by {@code /orders} only, one request at a time for each machine, and only while
+ * the newest report shows the current token: then every command sent under an earlier one is
+ * invalid. What to send follows from the cluster state and that report; nothing needs to be
+ * remembered of what was sent before. A request that got no response may still arrive, so it is
+ * followed by a new claim, whose token invalidates it.
  */
 public final class WorkerManager {
-  /** More machines than this part falling silent at once speaks of us or the network, not of them. */
-  public static final double MASS = 0.34;
+  /**
+   * If more than this share of a controller's machines is silent at once, the cause is that
+   * controller or the network, not the machines.
+   */
+  public static final double MASS_SILENCE_SHARE = 0.34;
 
   private static final Logger log = LoggerFactory.getLogger(WorkerManager.class);
 
-  private final ThrottledLogger malformed = new ThrottledLogger(log);
+  private final ThrottledLogger invalidMessages = new ThrottledLogger(log);
   private final EventLoop loop;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final ControllerLease lease;
   private final String label;
-  private final String boot;
+  private final String incarnation;
   private final OwnedMachines machines;
-  private final HeartbeatMonitor silences;
-  private int lost;
+  private final HeartbeatMonitor heartbeats;
+  private int lostTasks;
   private final MachineClaims claims;
-  private final CommandSender orders;
-  private final CommandThrottle pace;
-  private final Duration longestStart;
-  private final WorkerLeaseMonitor departures;
-  private final MachineViewPublisher telling;
-  private final CancellationTracker cancelled;
+  private final CommandSender commandSender;
+  private final CommandThrottle throttle;
+  private final Duration maxStartupTime;
+  private final WorkerLeaseMonitor leaseMonitor;
+  private final MachineViewPublisher viewPublisher;
+  private final CancellationTracker cancellations;
 
   public WorkerManager(
       EventLoop loop,
       StoreClient store,
-      HttpClient caller,
-      ClusterState world,
+      HttpClient httpClient,
+      ClusterState clusterState,
       ControllerLease lease,
       String label,
-      String boot,
+      String incarnation,
       String zone,
       Duration workerLease,
       double writesPerSecond,
       Predicate<String> unfit,
       RecoveryContext recovery,
-      Supplier<Duration> unknownUntil,
-      WallClockConverter timeOfDay,
-      Function<String, MachineType> types,
+      Supplier<Duration> notCommittedBefore,
+      WallClockConverter wallClock,
+      Function<String, MachineType> machineTypes,
       Function<String, MachineView> views,
       Consumer<MachineView> publish) {
     this.loop = loop;
-    this.cancelled = new CancellationTracker(world, lease, unknownUntil, timeOfDay);
-    this.world = world;
+    this.cancellations =
+        new CancellationTracker(clusterState, lease, notCommittedBefore, wallClock);
+    this.clusterState = clusterState;
     this.lease = lease;
     this.label = label;
-    this.boot = boot;
-    this.machines = new OwnedMachines(loop, world, lease, label, types, views);
-    this.silences = new HeartbeatMonitor(loop.now());
+    this.incarnation = incarnation;
+    this.machines = new OwnedMachines(loop, clusterState, lease, label, machineTypes, views);
+    this.heartbeats = new HeartbeatMonitor(loop.now());
     this.claims =
         new MachineClaims(
-            loop, store, world, label, boot, zone, writesPerSecond, unfit, recovery,
-            this::usable, this::accept);
-    this.longestStart = recovery.maxStartupTime();
-    this.pace = new CommandThrottle(loop, this::tendIfOwned);
-    this.orders =
-        new CommandSender(loop, caller, world, pace, this::take, m -> tendIfOwned(m.name));
-    this.departures = new WorkerLeaseMonitor(loop, store, world, lease, label, workerLease);
-    this.telling = new MachineViewPublisher(publish);
+            loop, store, clusterState, label, incarnation, zone, writesPerSecond, unfit, recovery,
+            this::mayAnswer, this::answerOwnWorker);
+    this.maxStartupTime = recovery.maxStartupTime();
+    this.throttle = new CommandThrottle(loop, this::reconcileIfOwned);
+    this.commandSender =
+        new CommandSender(
+            loop, httpClient, clusterState, throttle, this::applyReport,
+            m -> reconcileIfOwned(m.name));
+    this.leaseMonitor =
+        new WorkerLeaseMonitor(loop, store, clusterState, lease, label, workerLease);
+    this.viewPublisher = new MachineViewPublisher(publish);
   }
 
-  /** This process stood still, or could not answer: no machine is to be judged by that time. */
-  public void listenAnew() {
-    silences.listenAnew(loop.now());
+  /** To be called after this process was paused or could not answer reports. */
+  public void restartSilenceTimers() {
+    heartbeats.restartSilenceTimers(loop.now());
   }
 
-  private boolean mine(MachineRecord record) {
-    return record != null && record.owner().equals(label) && world.alive(label, boot);
+  private boolean isOwn(MachineRecord record) {
+    return record != null && record.owner().equals(label) && clusterState.alive(label, incarnation);
   }
 
-  /** Whether the machine is ours and its worker may be answered under this record. */
-  private boolean usable(MachineRecord record) {
-    if (!mine(record)) {
+  /**
+   * Whether this controller owns the machine and may answer its worker under this record: not while
+   * a deletion of this record may still be applied.
+   */
+  private boolean mayAnswer(MachineRecord record) {
+    if (!isOwn(record)) {
       return false;
     }
     OwnedMachine machine = machines.get(record.name());
-    return machine == null || machine.goneVersion != record.version();
+    return machine == null || machine.deletionVersion != record.version();
   }
 
   /**
-   * Serves {@code POST /v1/report}. Who is only to be sent away is answered unread: after an end of all
-   * every worker asks every second, and a start has no processor time to spare.
+   * Serves {@code POST /v1/report}. A worker that only has to retry later is answered before its
+   * report is decoded: after a full restart every worker reports every second, and a startup has no
+   * processor time to spare.
    */
-  public void report(byte[] body, Reply reply) {
+  public void handleReport(byte[] body, Reply reply) {
     if (!lease.valid()) {
       reply.send(
-          503, Cbor.encode(Responses.error("not entitled to act now")), MachineClaims.COME_AGAIN_S);
+          503,
+          Cbor.encode(Responses.error("this controller has no valid lease")),
+          MachineClaims.RETRY_AFTER_S);
       return;
     }
-    ReportHeader head = ReportHeader.read(body);
-    MachineRecord known = head == null ? null : world.machine(head.machine());
-    if (known != null && !mine(known) && claims.awaits(known, reply)) {
+    ReportHeader header = ReportHeader.read(body);
+    MachineRecord known = header == null ? null : clusterState.machine(header.machine());
+    if (known != null && !isOwn(known) && claims.deferToExpectedOwner(known, reply)) {
       return;
     }
     Report report;
     try {
-      OwnedMachine machine = head == null ? null : machines.get(head.machine());
-      report = machine == null ? Report.read(body) : machine.read(head, body);
+      OwnedMachine machine = header == null ? null : machines.get(header.machine());
+      report = machine == null ? Report.read(body) : machine.read(header, body);
     } catch (InvalidMessageException e) {
-      malformed.tell("unreadable report", e.getMessage());
+      invalidMessages.tell("unreadable report", e.getMessage());
       reply.send(400, Cbor.encode(Responses.error(e.getMessage())));
       return;
     }
-    MachineRecord record = world.machine(report.machine());
-    if (mine(record)) {
-      accept(record, report, reply);
-    } else if (record == null || !claims.awaits(record, reply)) {
+    MachineRecord record = clusterState.machine(report.machine());
+    if (isOwn(record)) {
+      answerOwnWorker(record, report, reply);
+    } else if (record == null || !claims.deferToExpectedOwner(record, reply)) {
       claims.claimOrRedirect(record, report, reply);
     }
   }
 
-  private void accept(MachineRecord record, Report report, Reply reply) {
-    long token = world.token(record);
+  private void answerOwnWorker(MachineRecord record, Report report, Reply reply) {
+    long token = clusterState.token(record);
     if (report.token() > token) {
-      // Somebody has claimed it since; our copy of the records is about to say so.
+      // The machine was claimed since; the cluster state cache is about to show it.
       reply.send(503, Cbor.encode(Responses.error("a later claim exists")));
       return;
     }
     Duration now = loop.now();
-    OwnedMachine machine = machines.of(record);
-    if (!usable(record)) {
-      if (machine.claiming) {
-        reply.send(503, Cbor.encode(Responses.error("it is being declared gone")));
+    OwnedMachine machine = machines.getOrAdd(record);
+    if (!mayAnswer(record)) {
+      if (machine.recordWriteInFlight) {
+        reply.send(503, Cbor.encode(Responses.error("the machine is being declared gone")));
       } else {
-        claims.inTurn(record, report, reply);
+        claims.claimWithinBudget(record, report, reply);
       }
       return;
     }
-    if (cancelled.leftToItsLease(machine, report, token)) {
-      reply.send(503, Cbor.encode(Responses.error("cancelled work can't be stopped there")));
+    if (cancellations.mustLeaveToExpire(machine, report, token)) {
+      reply.send(503, Cbor.encode(Responses.error("cancelled tasks there can't be stopped")));
     } else {
-      if (machine.answeredUnder != token) {
+      if (machine.answeredUnderToken != token) {
         log.info(
             "answers machine={} session={} shown={} token={} copy={}",
             machine.name,
             report.session(),
             report.token(),
             token,
-            world.revision());
+            clusterState.revision());
       }
-      machine.answered(report, token, now);
+      machine.onAnswered(report, token, now);
       if (machine.latest == null) {
-        lost += StartupLogger.countLostTasks(world.placedOn(record.name()), report.session());
+        lostTasks += StartupLogger.countLostTasks(clusterState.placedOn(record.name()), report.session());
       }
-      reply.send(200, machine.answer(token));
+      reply.send(200, machine.response(token));
     }
-    take(machine, report);
-    tend(machine);
+    applyReport(machine, report);
+    reconcile(machine);
   }
 
-  /** How far this controller's machines are since it started. */
-  public StartupLogger.StartupCounts standing() {
-    int heard = 0;
+  /** Progress of this controller's machines since it started. */
+  public StartupLogger.StartupCounts startupCounts() {
+    int reporting = 0;
     for (OwnedMachine machine : machines.all()) {
-      heard += machine.latest == null ? 0 : 1;
+      reporting += machine.latest == null ? 0 : 1;
     }
     return new StartupLogger.StartupCounts(
         machines.size(),
-        heard,
-        pace.waitingMachines(),
-        orders.sent(Command.Op.START),
-        orders.sent(Command.Op.STOP),
-        orders.sent(Command.Op.FORGET),
-        lost);
+        reporting,
+        throttle.waitingMachines(),
+        commandSender.sentCount(Command.Op.START),
+        commandSender.sentCount(Command.Op.STOP),
+        commandSender.sentCount(Command.Op.FORGET),
+        lostTasks);
   }
 
-  /** Takes in a report unless a newer one is known; reports may arrive minutes late. */
-  private void take(OwnedMachine machine, Report report) {
+  /** Applies a report unless a newer one is known; reports may arrive minutes late. */
+  private void applyReport(OwnedMachine machine, Report report) {
     if (machine.latest != null && !report.newerThan(machine.latest)) {
       return;
     }
     if (machine.latest != null && report.saysNoMoreThan(machine.latest)) {
-      // With the same list of tasks, so that it is known as unchanged from here on.
+      // Keeps the same list object, by which later comparisons recognize the tasks as unchanged.
       machine.latest = report.with(machine.latest.tasks());
       return;
     }
-    machine.take(report);
+    machine.apply(report);
     try {
       machine.address = Addresses.parse(report.address());
     } catch (InvalidMessageException e) {
-      malformed.tell("machine=" + machine.name + " can't be given commands", e.getMessage());
+      invalidMessages.tell("machine=" + machine.name + " can't be sent commands", e.getMessage());
       machine.address = null;
     }
     machine.history.observe(report, loop.now(), this::spec);
   }
 
   private JobSpec spec(String job) {
-    Job known = world.job(job);
+    Job known = clusterState.job(job);
     return known == null ? null : known.record().spec();
   }
 
   /**
-   * The records of these machines, or what is recorded on them, have changed: claims may have come
-   * true, and commands may follow. Looking at all machines for each change is what a large cluster
-   * can't afford; what is due by time alone is found by the tick.
+   * Handles changes of the records of machines, or of the placements on them: claims may have
+   * become effective, and commands may be needed. A large cluster can't afford to scan all machines
+   * for each change; what becomes due by time alone is found by {@link #tick}.
    */
-  public void worldChanged(ClusterStateDelta touched) {
-    cancelled.worldChanged(touched);
-    claims.worldChanged();
-    if (touched.controllersChanged() && world.alive(label, boot) && machines.isEmpty()) {
-      timeAll();
+  public void onClusterStateChange(ClusterStateDelta delta) {
+    cancellations.onClusterStateChange(delta);
+    claims.onClusterStateChange();
+    if (delta.controllersChanged() && clusterState.alive(label, incarnation) && machines.isEmpty()) {
+      trackOwnMachines();
     }
-    for (String name : Sets.union(touched.machines(), touched.placementsChangedOn())) {
-      MachineRecord record = world.machine(name);
-      // Ours by a claim whose answer was lost, or adopted: its silence has to be timed too.
-      OwnedMachine machine = mine(record) ? machines.of(record) : machines.get(name);
+    for (String name : Sets.union(delta.machines(), delta.placementsChangedOn())) {
+      MachineRecord record = clusterState.machine(name);
+      // It may have become this controller's own by a claim whose response was lost, or by a
+      // failover: its silence must be timed too.
+      OwnedMachine machine = isOwn(record) ? machines.getOrAdd(record) : machines.get(name);
       if (machine != null) {
-        machine.settled = false;
-        tend(machine);
+        machine.nothingToSend = false;
+        reconcile(machine);
       }
     }
     machines.logAcquired();
   }
 
   /**
-   * This controller has started anew and finds machines that are its own: those that never report to it
-   * have to be timed too, or what is recorded on them would never be over.
+   * Tracks the machines that this controller already owns when it has restarted. Those that never
+   * report to it must be timed too, or the attempts recorded on them would never end.
    */
-  private void timeAll() {
-    double usual = 0;
-    for (MachineRecord record : world.machines().values()) {
-      if (mine(record)) {
-        machines.of(record);
-        usual += CommandThrottle.expectedRate(world.placedOn(record.name()));
+  private void trackOwnMachines() {
+    double usualRate = 0;
+    for (MachineRecord record : clusterState.machines().values()) {
+      if (isOwn(record)) {
+        machines.getOrAdd(record);
+        usualRate += CommandThrottle.expectedRate(clusterState.placedOn(record.name()));
       }
     }
-    if (usual > 0) {
-      pace.begin(usual, longestStart);
+    if (usualRate > 0) {
+      throttle.begin(usualRate, maxStartupTime);
     }
   }
 
-  /** Once a second or so: what is due by time alone. */
+  /** Handles what is due by time alone; called about once a second. */
   public void tick() {
     Duration now = loop.now();
     if (!lease.valid()) {
-      listenAnew(); // Reports are refused now; that workers then go elsewhere is no silence of theirs.
+      // Reports are refused now: workers that go to other controllers don't count as silent.
+      restartSilenceTimers();
     }
     claims.tick(now);
     for (OwnedMachine machine : List.copyOf(machines.all())) {
-      tend(machine);
-      MachineRecord record = world.machine(machine.name);
-      if (mine(record)) {
-        departures.judge(machine, record, silences.listeningSince());
+      reconcile(machine);
+      MachineRecord record = clusterState.machine(machine.name);
+      if (isOwn(record)) {
+        leaseMonitor.declareGoneIfExpired(machine, record, heartbeats.listeningSince());
       }
     }
-    silences.judge(machines.all(), now);
+    heartbeats.evaluate(machines.all(), now);
   }
 
-  /** Finds a new owner for a machine whose owner has ended, if that one is late. */
-  public void adopt(MachineRecord orphan) {
-    claims.adopt(orphan);
+  /** Fails over the machines of an owner that is gone and overdue. */
+  public void failOverIfOverdue(MachineRecord orphan) {
+    claims.failOverIfOverdue(orphan);
   }
 
   /**
-   * Whether most machines of this controller have fallen silent together: then it is this controller
-   * that the workers can't reach. The others are told so, and take the workers over when they come,
-   * rather than sending them back here until their leases end. As of the last tick.
+   * Whether so many of this controller's machines were silent at the last tick that it must be
+   * isolated from them. The other controllers are notified, and claim the machines of workers that
+   * report to them instead of redirecting them here until their leases expire.
    */
-  public boolean deaf() {
-    return silences.deaf();
+  public boolean isolatedFromWorkers() {
+    return heartbeats.isolatedFromWorkers();
   }
 
-  /** How long a machine of ours has been silent; null if it is not ours. */
+  /** How long a machine has been silent; null if this controller does not own it. */
   public Duration silentFor(String name) {
     OwnedMachine machine = machines.get(name);
-    return machine == null ? null : silences.of(machine, loop.now());
+    return machine == null ? null : heartbeats.silence(machine, loop.now());
   }
 
-  private void tendIfOwned(String name) {
+  private void reconcileIfOwned(String name) {
     OwnedMachine machine = machines.get(name);
     if (machine != null) {
-      tend(machine);
+      reconcile(machine);
     }
   }
 
-  /** Sends what the machine lacks, and tells the others what is new. */
-  private void tend(OwnedMachine machine) {
-    MachineRecord record = world.machine(machine.name);
-    if (!mine(record)) {
+  /** Sends the commands that the machine needs, and publishes its view if that is due. */
+  private void reconcile(OwnedMachine machine) {
+    MachineRecord record = clusterState.machine(machine.name);
+    if (!isOwn(record)) {
       machines.remove(machine.name);
       return;
     }
     Duration now = loop.now();
     machines.observe(machine, record, now);
     Report latest = machine.latest;
-    long token = world.token(record);
+    long token = clusterState.token(record);
     if (latest != null && latest.token() >= token) {
-      machine.tokenShown(now);
+      machine.onTokenReported(now);
     }
     if (latest == null || !lease.valid()) {
       return;
     }
-    if (!usable(record)) {
-      telling.tell(machine, token, List.of(), silences.of(machine, now), now);
+    if (!mayAnswer(record)) {
+      viewPublisher.publishIfDue(machine, token, List.of(), heartbeats.silence(machine, now), now);
       return;
     }
-    if (machine.doubtfulToken == token) {
-      if (!machine.claiming && now.compareTo(machine.quietUntil) >= 0) {
-        claims.anew(machine, record);
+    if (machine.unconfirmedToken == token) {
+      if (!machine.recordWriteInFlight && now.compareTo(machine.backOffUntil) >= 0) {
+        claims.reclaim(machine, record);
       }
-      telling.tell(machine, token, List.of(), silences.of(machine, now), now);
+      viewPublisher.publishIfDue(machine, token, List.of(), heartbeats.silence(machine, now), now);
       return;
     }
-    if (machine.settled && machine.published != null && machine.published.token() == token) {
-      telling.tell(machine, token, machine.published.voids(), silences.of(machine, now), now);
+    if (machine.nothingToSend && machine.lastView != null && machine.lastView.token() == token) {
+      viewPublisher.publishIfDue(
+          machine, token, machine.lastView.absentAttempts(), heartbeats.silence(machine, now), now);
       return;
     }
-    boolean shown = latest.token() == token;
-    boolean quiet = !machine.ordersInFlight;
-    Reconciliation difference = shown && quiet ? orders.difference(machine) : null;
-    List<MachineView.AbsentAttempt> voids =
-        difference == null ? List.of() : CommandSender.voids(difference);
-    telling.tell(machine, token, voids, silences.of(machine, now), now);
-    boolean reachable = quiet && machine.address != null && now.compareTo(machine.quietUntil) >= 0;
-    if (reachable && difference != null) {
-      orders.tend(machine, difference, token, now);
-    } else if (reachable && machine.leftToItsLease) {
-      // It is not told the token in answer to its reports; what is cancelled there has to be stopped first.
-      orders.stop(machine, token);
+    boolean tokenAcknowledged = latest.token() == token;
+    boolean nothingInFlight = !machine.commandsInFlight;
+    Reconciliation reconciliation =
+        tokenAcknowledged && nothingInFlight ? commandSender.reconciliation(machine) : null;
+    List<MachineView.AbsentAttempt> absentAttempts =
+        reconciliation == null ? List.of() : CommandSender.absentAttempts(reconciliation);
+    viewPublisher.publishIfDue(
+        machine, token, absentAttempts, heartbeats.silence(machine, now), now);
+    boolean reachable =
+        nothingInFlight && machine.address != null && now.compareTo(machine.backOffUntil) >= 0;
+    if (reachable && reconciliation != null) {
+      commandSender.sendCommands(machine, reconciliation, token, now);
+    } else if (reachable && machine.leftToExpire) {
+      // Its reports are not answered, so it does not learn the token; the cancelled tasks have to
+      // be stopped first.
+      commandSender.sendStops(machine, token);
     }
   }
 
-  /** What the others were last told of each machine: one that starts anew needs all of it. */
-  public List<MachineView> told() {
-    return machines.told();
+  /** The last published view of each machine; a controller that has just started needs them all. */
+  public List<MachineView> publishedViews() {
+    return machines.publishedViews();
   }
 
-  public Collection<String> owned() {
+  /** Names of the machines that this controller owns. */
+  public Collection<String> ownedMachines() {
     return machines.names();
   }
 }
--- a/src/test/java/io/tansystack/workers/OwnedMachineTest.java
+++ b/src/test/java/io/tansystack/workers/OwnedMachineTest.java
@@ -9,7 +9,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What reports tell of whether their machine hears its owner, and what its lease counts from. */
+/**
+ * What an owner concludes from a worker's reports: the moment from which the worker's lease counts,
+ * and whether responses reach the worker. If a copy of an old report renewed the lease, the owner
+ * would declare a lost machine gone too late; if a former owner's responses were left out, too
+ * early.
+ */
 class OwnedMachineTest {
   private static final long TOKEN = 40;
 
@@ -21,8 +26,9 @@
   }
 
   /**
-   * Reports come six seconds apart, given as session, number and token; all are answered under token 40.
-   * Then: which of them the lease counts from, and whether the machine doesn't hear.
+   * Reports arrive six seconds apart, given as session, sequence number and token; all are answered
+   * under token 40. Columns: the reports, the one from which the lease counts, and whether
+   * responses are taken for lost.
    */
   @ParameterizedTest
   @CsvSource(
@@ -45,27 +51,30 @@
           1 1 40, 2 2 40                  | 2 | true
           1 1 40, 2 2 40, 1 2 40          | 2 | true
           """)
-  void copiesRenewNothingAndWhoDoesNotHearIsTold(String reports, int from, boolean unhearing) {
+  void copiesDoNotRenewTheLeaseAndMissedResponsesAreDetected(
+      String reports, int countsFrom, boolean responsesLost) {
     Duration now = Duration.ofSeconds(1000);
     OwnedMachine machine = new OwnedMachine("n-1", new MachineHistory(50), now, TOKEN, now);
     Duration answered = now;
-    int at = 0;
+    int position = 0;
     for (String text : reports.split(",")) {
       Report report = report(text);
       now = now.plusSeconds(6);
-      machine.answered(report, TOKEN, now);
+      machine.onAnswered(report, TOKEN, now);
       if (machine.latest == null || report.newerThan(machine.latest)) {
-        machine.take(report);
+        machine.apply(report);
       }
-      answered = ++at == from ? now : answered;
+      answered = ++position == countsFrom ? now : answered;
     }
     assertEquals(answered, machine.answeredAt);
-    assertEquals(unhearing, machine.unhearing());
+    assertEquals(responsesLost, machine.responsesLost());
   }
 
   /**
-   * What happens in which second after the machine came to be this controller's, while a former owner may act
-   * for 17 s more: a report of it is answered, it shows the token, or its record changes and changes back.
+   * Events and the seconds in which they happen, after this controller became the owner while a
+   * former owner may act for another 17 s: a report is answered, the worker reports the token
+   * ("shown"), or the record changes and changes back. Last column: the second from which the lease
+   * can count.
    */
   @ParameterizedTest
   @CsvSource(
@@ -84,9 +93,10 @@
           shown 5, changed 8, shown 10      | 10
           answered 3, changed 8, answered 9 | 25
           """)
-  void aLeaseCountsFromAFormerOwnersAnswersUntilTheTokenIsShown(String events, int lastAnswerS) {
+  void leaseCountsFromFormerOwnersAnswersUntilTokenIsReported(String events, int lastAnswerS) {
     Duration life = Duration.ofSeconds(17);
-    OwnedMachine machine = new OwnedMachine("n-1", new MachineHistory(50), Duration.ZERO, TOKEN, life);
+    OwnedMachine machine =
+        new OwnedMachine("n-1", new MachineHistory(50), Duration.ZERO, TOKEN, life);
     long revision = TOKEN;
     int sequence = 0;
     for (String event : events.split(", ")) {
@@ -95,11 +105,11 @@
       switch (parts[0]) {
         case "answered" -> {
           Report report = report("1 " + ++sequence + " 0");
-          machine.answered(report, TOKEN, now);
-          machine.take(report);
+          machine.onAnswered(report, TOKEN, now);
+          machine.apply(report);
         }
-        case "shown" -> machine.tokenShown(now);
-        case "changed" -> machine.heldSince(++revision, now.plus(life));
+        case "shown" -> machine.onTokenReported(now);
+        case "changed" -> machine.updateOwnedSince(++revision, now.plus(life));
         default -> assertEquals("none", parts[0]);
       }
     }
--- a/src/test/java/io/tansystack/workers/TerminationProofsTest.java
+++ b/src/test/java/io/tansystack/workers/TerminationProofsTest.java
@@ -24,7 +24,11 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What proves that a placement is over, and what comes near it and proves nothing. */
+/**
+ * Checks what proves that attempts have ended, and that similar facts prove nothing: if an attempt
+ * were taken for ended while it still runs, its task would be started a second time. Also checks
+ * that views reach other controllers unchanged.
+ */
 class TerminationProofsTest {
   private static final long TOKEN = 50;
   private static final MachineRecord MACHINE =
@@ -40,11 +44,14 @@
           .placed(List.of(new Assignment("n-1", 2, TaskSet.range(0, 1))));
 
   private static MachineView view(
-      long session, long token, List<MachineView.AbsentAttempt> voids, TaskReport... tasks) {
+      long session,
+      long token,
+      List<MachineView.AbsentAttempt> absentAttempts,
+      TaskReport... tasks) {
     Report report =
         new Report(
             "n-1", "127.0.0.1:1", "g8", "a", false, session, 9, token, null, List.of(tasks));
-    return new MachineView(report, token, voids, Map.of(), 0, 0, 0, false);
+    return new MachineView(report, token, absentAttempts, Map.of(), 0, 0, 0, false);
   }
 
   private static TaskReport task(int index, long attempt, State state, Cause cause) {
@@ -54,22 +61,62 @@
   static Stream<Arguments> cases() {
     List<MachineView.AbsentAttempt> exact = List.of(new MachineView.AbsentAttempt("wk-1", 0, 1));
     return Stream.of(
-        Arguments.of("ended", MACHINE, view(2, TOKEN, List.of(), task(0, 1, State.EXITED, Cause.DONE)), 1, 0),
-        Arguments.of("refused", MACHINE, view(2, TOKEN, List.of(), task(0, 1, State.EXITED, Cause.NO_ROOM)), 1, 0),
-        Arguments.of("ended, told under an older token", MACHINE, view(2, 40, List.of(), task(0, 1, State.EXITED, Cause.ERROR)), 1, 0),
+        Arguments.of(
+            "ended",
+            MACHINE,
+            view(2, TOKEN, List.of(), task(0, 1, State.EXITED, Cause.DONE)),
+            1,
+            0),
+        Arguments.of(
+            "refused",
+            MACHINE,
+            view(2, TOKEN, List.of(), task(0, 1, State.EXITED, Cause.NO_ROOM)),
+            1,
+            0),
+        Arguments.of(
+            "ended, published under an older token",
+            MACHINE,
+            view(2, 40, List.of(), task(0, 1, State.EXITED, Cause.ERROR)),
+            1,
+            0),
         Arguments.of("later session", MACHINE, view(3, TOKEN, List.of()), 1, 0),
         Arguments.of("record gone", null, null, 1, 0),
-        Arguments.of("record gone, old view left", null, view(2, TOKEN, List.of(), task(0, 1, State.RUNNING, null)), 1, 0),
-        Arguments.of("owner's word that it is void", MACHINE, view(2, TOKEN, exact), 1, 1),
+        Arguments.of(
+            "record gone, old view still known",
+            null,
+            view(2, TOKEN, List.of(), task(0, 1, State.RUNNING, null)),
+            1,
+            0),
+        Arguments.of("owner confirms that it is absent", MACHINE, view(2, TOKEN, exact), 1, 1),
         Arguments.of("nothing known", MACHINE, null, 0, 0),
-        Arguments.of("missing in the list", MACHINE, view(2, TOKEN, List.of()), 0, 0),
-        Arguments.of("earlier session", MACHINE, view(1, TOKEN, List.of(), task(0, 1, State.EXITED, Cause.DONE)), 0, 0),
-        Arguments.of("another attempt ended", MACHINE, view(2, TOKEN, List.of(), task(0, 2, State.EXITED, Cause.DONE)), 0, 0),
-        Arguments.of("another task ended", MACHINE, view(2, TOKEN, List.of(), task(1, 1, State.EXITED, Cause.DONE)), 0, 0),
-        Arguments.of("still saving", MACHINE, view(2, TOKEN, List.of(), task(0, 1, State.SAVING, null)), 0, 0),
-        Arguments.of("word of a former owner", MACHINE, view(2, 40, exact), 0, 0),
+        Arguments.of("not in the list of tasks", MACHINE, view(2, TOKEN, List.of()), 0, 0),
+        Arguments.of(
+            "earlier session",
+            MACHINE,
+            view(1, TOKEN, List.of(), task(0, 1, State.EXITED, Cause.DONE)),
+            0,
+            0),
         Arguments.of(
-            "word on another attempt",
+            "another attempt ended",
+            MACHINE,
+            view(2, TOKEN, List.of(), task(0, 2, State.EXITED, Cause.DONE)),
+            0,
+            0),
+        Arguments.of(
+            "another task ended",
+            MACHINE,
+            view(2, TOKEN, List.of(), task(1, 1, State.EXITED, Cause.DONE)),
+            0,
+            0),
+        Arguments.of(
+            "still saving",
+            MACHINE,
+            view(2, TOKEN, List.of(), task(0, 1, State.SAVING, null)),
+            0,
+            0),
+        Arguments.of("confirmation of a former owner", MACHINE, view(2, 40, exact), 0, 0),
+        Arguments.of(
+            "confirmation for another attempt",
             MACHINE,
             view(2, TOKEN, List.of(new MachineView.AbsentAttempt("wk-1", 0, 2))),
             0,
@@ -78,28 +125,31 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("cases")
-  void proofsAndNearMisses(
-      String name, MachineRecord machine, MachineView view, int over, int conditions) {
+  void onlyTheFourProofsEndAPlacement(
+      String name, MachineRecord machine, MachineView view, int ended, int conditions) {
     TerminationProofs proofs =
         TerminationProofs.collect(
             "wk-1", RECORD, m -> view, m -> machine, MachineRecord::version, 10);
-    assertEquals(over, proofs.over().size());
+    assertEquals(ended, proofs.ended().size());
     assertEquals(conditions, proofs.conditions().size());
-    assertEquals(over, proofs.grounds().stream().mapToInt(ground -> ground.tasks().size()).sum());
-    conditions(proofs);
+    assertEquals(ended, proofs.evidence().stream().mapToInt(e -> e.tasks().size()).sum());
+    assertConditionsOnToken(proofs);
   }
 
-  /** A round that needs more conditions than a transaction holds could never be written. */
+  /**
+   * Owners' confirmations that need more conditions than a transaction holds must be applied in
+   * several transactions: they could never be written at once.
+   */
   @Test
-  void moreWordsOfOwnersThanATransactionHoldsAreTakenInTurn() {
+  void confirmationsBeyondATransactionsConditionsAreAppliedLater() {
     JobRecord record = JobRecord.created(RECORD.spec(), 0);
-    List<Assignment> round = new ArrayList<>();
+    List<Assignment> placementRound = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      round.add(new Assignment("n-" + i, 2, TaskSet.range(i, i + 1)));
+      placementRound.add(new Assignment("n-" + i, 2, TaskSet.range(i, i + 1)));
     }
-    record = record.placed(round).cancelled(1);
-    int rounds = 0;
-    while (record.spec() != null && rounds++ < 10) {
+    record = record.placed(placementRound).cancelled(1);
+    int transactions = 0;
+    while (record.spec() != null && transactions++ < 10) {
       TerminationProofs proofs =
           TerminationProofs.collect(
               "wk-1",
@@ -111,36 +161,38 @@
                       List.of(
                           new MachineView.AbsentAttempt(
                               "wk-1", Integer.parseInt(m.substring(2)), 1))),
-              m -> new MachineRecord(m, "c-0", "127.0.0.1:1", "g8", "a", false, false, TOKEN, false),
+              m ->
+                  new MachineRecord(
+                      m, "c-0", "127.0.0.1:1", "g8", "a", false, false, TOKEN, false),
               MachineRecord::version,
               2);
       assertEquals(Math.min(2, record.placements().size()), proofs.conditions().size());
-      record = record.absorbed(proofs.over());
+      record = record.absorbed(proofs.ended());
     }
-    assertEquals(3, rounds);
+    assertEquals(3, transactions);
   }
 
-  private static void conditions(TerminationProofs proofs) {
+  private static void assertConditionsOnToken(TerminationProofs proofs) {
     proofs.conditions().forEach(c -> assertEquals(TOKEN, c.version()));
   }
 
   @ParameterizedTest
   @MethodSource("cases")
-  void aViewTravelsUnchanged(
-      String name, MachineRecord machine, MachineView view, int over, int conditions)
+  void viewIsReadAsWritten(
+      String name, MachineRecord machine, MachineView view, int ended, int conditions)
       throws Exception {
     if (view != null) {
       MachineView back = MachineView.read(view.write());
       assertEquals(view.report(), back.report());
-      assertEquals(view.voids(), back.voids());
+      assertEquals(view.absentAttempts(), back.absentAttempts());
       assertEquals(view.token(), back.token());
-      assertEquals(Set.of(), back.provesMoreThan(view));
+      assertEquals(Set.of(), back.jobsWithNewProofs(view));
     }
   }
 
-  /** Tasks travel in groups; each must arrive with its own state. */
+  /** Tasks are written in groups; each must be read with its own state. */
   @Test
-  void manyTasksTravelInGroups() throws Exception {
+  void groupedTasksKeepTheirOwnStates() throws Exception {
     List<TaskReport> tasks = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       tasks.add(
@@ -154,9 +206,12 @@
     assertEquals(30, back.report().tasks().size());
     assertEquals(view.report().without(), back.report().without());
     MachineView nothing = view(2, TOKEN, List.of());
-    assertEquals(Set.of("wk-1"), view.provesMoreThan(nothing));
-    assertEquals(Set.of(), view(2, TOKEN, List.of(), task(0, 1, State.RUNNING, null)).provesMoreThan(nothing));
-    MachineView spoken = view(2, TOKEN, List.of(new MachineView.AbsentAttempt("wk-1", 0, 1)));
-    assertEquals(Set.of("wk-1"), spoken.provesMoreThan(nothing));
+    assertEquals(Set.of("wk-1"), view.jobsWithNewProofs(nothing));
+    assertEquals(
+        Set.of(),
+        view(2, TOKEN, List.of(), task(0, 1, State.RUNNING, null)).jobsWithNewProofs(nothing));
+    MachineView withAbsentAttempt =
+        view(2, TOKEN, List.of(new MachineView.AbsentAttempt("wk-1", 0, 1)));
+    assertEquals(Set.of("wk-1"), withAbsentAttempt.jobsWithNewProofs(nothing));
   }
 }
