--- a/src/main/java/io/tansystack/cli/Controller.java
+++ b/src/main/java/io/tansystack/cli/Controller.java
@@ -262,7 +262,7 @@
         world.jobs().size(),
         world.machines().size(),
         world.machines().keySet().stream().filter(m -> world.placedOn(m).isEmpty()).count(),
-        jobs.lastSnapshot().machines().stream().filter(m -> !m.open()).count(),
+        jobs.lastSnapshot().machines().stream().filter(m -> !m.acceptsTasks()).count(),
         jobs.lastPlan().unmet().size(),
         desk.ownedMachines().size(),
         lease.valid(),
--- a/src/main/java/io/tansystack/jobs/JobStateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/JobStateBuilder.java
@@ -57,7 +57,7 @@
         !pending && !failures.pauses(id, now),
         impatient,
         suspected,
-        record.active() ? deadlines.missed(record, wallMs) : 0,
+        record.active() ? deadlines.missedObjectives(record, wallMs) : 0,
         failures.avoid(id, now),
         record.untouched() && ageMs >= DUE.toMillis());
   }
--- a/src/main/java/io/tansystack/jobs/JobUpdateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/JobUpdateBuilder.java
@@ -111,7 +111,7 @@
   /** Jobs whose records may have to change: by the plan, by a proof, or since a machine is recalled. */
   private Set<String> concerned() {
     Set<String> ids = new LinkedHashSet<>(plan.placements().keySet());
-    ids.addAll(plan.stops().keySet());
+    ids.addAll(plan.evictions().keySet());
     ids.addAll(book.proven());
     ids.addAll(book.recalled());
     return ids;
@@ -135,7 +135,7 @@
 
   private JobRecord stopped(String id, JobRecord record) {
     JobRecord next = record;
-    for (Plan.Eviction stop : plan.stops().getOrDefault(id, List.of())) {
+    for (Plan.Eviction stop : plan.evictions().getOrDefault(id, List.of())) {
       next =
           next.spec().shape() == JobKind.GANG
               ? next.allStopped()
--- a/src/main/java/io/tansystack/jobs/PlanWriter.java
+++ b/src/main/java/io/tansystack/jobs/PlanWriter.java
@@ -362,7 +362,7 @@
   private void report(JobUpdate draft) {
     String id = draft.job().id();
     DroppedPlacementLog.log(id, book.proofs(id), world.revision());
-    for (Plan.Eviction stop : plan.stops().getOrDefault(id, List.of())) {
+    for (Plan.Eviction stop : plan.evictions().getOrDefault(id, List.of())) {
       if (stop.isMove()) {
         book.movedOff(id, stop.machine());
       }
@@ -371,7 +371,7 @@
           id,
           stop.tasks(),
           stop.machine(),
-          stop.forJob());
+          stop.reason());
     }
     if (draft.places() && log.isInfoEnabled()) {
       log.info("place job={} attempt={} {}", id, draft.next().attempt(), plan.placements().get(id).stream()
--- a/src/main/java/io/tansystack/jobs/SchedulingState.java
+++ b/src/main/java/io/tansystack/jobs/SchedulingState.java
@@ -297,7 +297,7 @@
       JobState state = settled.get(id);
       if (state == null) {
         state = jobStates.of(id, effective.get(id), pending.containsKey(id), now, wallMs);
-        if (!state.open() && state.waiting() && !failures.knows(id)) {
+        if (!state.hasUnplacedTasks() && state.schedulable() && !failures.knows(id)) {
           settled.put(id, state); // Nothing of it is to be placed, so time changes nothing.
         }
       }
--- a/src/main/java/io/tansystack/schedule/AcceleratorReservation.java
+++ b/src/main/java/io/tansystack/schedule/AcceleratorReservation.java
@@ -42,7 +42,7 @@
     }
 
     private void count(MachineCapacity room) {
-      if (room.machine.type().gpus() > 0 && room.machine.open() && allows(shape, room)) {
+      if (room.machine.type().gpus() > 0 && room.machine.acceptsTasks() && allows(shape, room)) {
         int now = room.fits(shape);
         places += now - placesIn.put(room, now);
       }
--- a/src/main/java/io/tansystack/schedule/AllocatedTasks.java
+++ b/src/main/java/io/tansystack/schedule/AllocatedTasks.java
@@ -9,8 +9,10 @@
 /**
  * Tasks of a job that are recorded on a machine.
  *
- * @param submittedMs when the job was submitted, as its record says
- * @param active whether the job goes on; otherwise its tasks are about to leave
+ * @param job ID of the job
+ * @param submittedMs when the job was submitted, according to its record
+ * @param active whether the job is active; otherwise its tasks are being stopped
+ * @param placement the placement that contains the tasks
  */
 record AllocatedTasks(
     String job, JobSpec spec, long submittedMs, boolean active, Placement placement) {
@@ -23,12 +25,12 @@
     return spec.priority();
   }
 
-  int tasks() {
+  int taskCount() {
     return placement.tasks().size();
   }
 
-  /** Whether they are being stopped, so that their room comes free soon. */
-  boolean leaves() {
+  /** Whether the tasks are being stopped, so that their resources will soon be free. */
+  boolean isReleasing() {
     return placement.stop() || !active;
   }
 
@@ -36,6 +38,7 @@
     return spec.shape() == JobKind.SERVICE;
   }
 
+  /** The same tasks with another placement, after a part of them was stopped. */
   AllocatedTasks withPlacement(Placement rest) {
     return new AllocatedTasks(job, spec, submittedMs, active, rest);
   }
--- a/src/main/java/io/tansystack/schedule/CandidateRanking.java
+++ b/src/main/java/io/tansystack/schedule/CandidateRanking.java
@@ -12,110 +12,114 @@
 import java.util.function.Predicate;
 
 /**
- * The best rooms of each zone for jobs that are alike in all that decides between rooms. It is made
- * once in a pass; then only the rooms that the pass has changed since are judged again.
+ * The best machines of each zone for jobs that are alike in everything that affects the choice of a
+ * machine. It is built once in a pass; after that, only machines that the pass has changed are
+ * scored again.
  */
 final class CandidateRanking {
-  /** So many rooms of a zone are ranked; when those are used up, all are judged anew. */
-  private static final int RANKED = 256;
+  /** How many machines of a zone are ranked; when these are used up, the ranking is built again. */
+  private static final int MAX_RANKED = 256;
 
-  /** The best rooms of one zone, as they were judged, and those that have changed since. */
-  private static final class Zone {
+  /** The best machines of one zone as first scored, and those that have changed since. */
+  private static final class ZoneRanking {
     final List<ScoredCandidate> ranked;
     final TreeSet<ScoredCandidate> changed = new TreeSet<>();
 
-    /** Whether there are rooms behind the ranked ones. */
-    final boolean cut;
+    /** Whether the zone has more machines than the ranked ones. */
+    final boolean truncated;
 
-    int first;
+    /** Index in {@link #ranked} before which all machines have changed. */
+    int firstUnchanged;
 
-    Zone(List<ScoredCandidate> ranked, boolean cut) {
+    ZoneRanking(List<ScoredCandidate> ranked, boolean truncated) {
       this.ranked = ranked;
-      this.cut = cut;
+      this.truncated = truncated;
     }
   }
 
   private final List<MachineCapacity> changes;
-  private final Function<MachineCapacity, ScoredCandidate> judge;
-  private final Map<String, Zone> zones = new TreeMap<>();
+  private final Function<MachineCapacity, ScoredCandidate> scorer;
+  private final Map<String, ZoneRanking> zones = new TreeMap<>();
 
-  /** What counts for rooms that have changed since the ranking was made. */
-  private final Reference2ObjectOpenHashMap<MachineCapacity, ScoredCandidate> current =
+  /** The current scores of machines changed since creation; null where no task fits now. */
+  private final Reference2ObjectOpenHashMap<MachineCapacity, ScoredCandidate> rescored =
       new Reference2ObjectOpenHashMap<>();
 
-  private final int madeAt;
-  private int seen;
+  private final int changesAtCreation;
+
+  /** How many entries of {@link #changes} have been applied. */
+  private int changesApplied;
 
   /**
-   * @param rooms that come into question
-   * @param changes rooms that the pass has changed, one for each change; more are added as it goes on
-   * @param judge tells how good a room is; null for one that takes no task any more
+   * @param machines the machines to rank; each fits a task
+   * @param changes machines that the pass has changed, one entry per change; the pass appends to it
+   * @param scorer scores a machine; returns null for one that fits no more tasks
    */
   CandidateRanking(
-      List<MachineCapacity> rooms,
+      List<MachineCapacity> machines,
       List<MachineCapacity> changes,
-      Function<MachineCapacity, ScoredCandidate> judge) {
+      Function<MachineCapacity, ScoredCandidate> scorer) {
     this.changes = changes;
-    this.judge = judge;
-    this.madeAt = changes.size();
-    this.seen = madeAt;
+    this.scorer = scorer;
+    this.changesAtCreation = changes.size();
+    this.changesApplied = changesAtCreation;
     Map<String, List<ScoredCandidate>> byZone = new TreeMap<>();
-    for (MachineCapacity room : rooms) {
+    for (MachineCapacity machine : machines) {
       byZone
-          .computeIfAbsent(room.machine.zone(), k -> new ArrayList<>())
-          .add(judge.apply(room));
+          .computeIfAbsent(machine.machine.zone(), k -> new ArrayList<>())
+          .add(scorer.apply(machine));
     }
     byZone.forEach(
         (name, all) -> {
           List<ScoredCandidate> best =
-              CandidateSelector.least(all, RANKED, Comparator.naturalOrder());
-          zones.put(name, new Zone(best, all.size() > RANKED));
+              CandidateSelector.top(all, MAX_RANKED, Comparator.naturalOrder());
+          zones.put(name, new ZoneRanking(best, all.size() > MAX_RANKED));
         });
   }
 
-  /** Whether one that is made anew may rank other rooms. */
+  /** Whether the pass has changed machines since, so that a rebuilt ranking may differ. */
   boolean hasChanged() {
-    return changes.size() > madeAt;
+    return changes.size() > changesAtCreation;
   }
 
-  /** Judges again what has changed. */
+  /** Scores the machines again that have changed since the last call. */
   private void update() {
-    for (; seen < changes.size(); seen++) {
-      judgeAgain(changes.get(seen));
+    for (; changesApplied < changes.size(); changesApplied++) {
+      rescore(changes.get(changesApplied));
     }
-    for (Zone zone : zones.values()) {
-      while (zone.first < zone.ranked.size()
-          && current.containsKey(zone.ranked.get(zone.first).room())) {
-        zone.first++;
+    for (ZoneRanking zone : zones.values()) {
+      while (zone.firstUnchanged < zone.ranked.size()
+          && rescored.containsKey(zone.ranked.get(zone.firstUnchanged).machine())) {
+        zone.firstUnchanged++;
       }
     }
   }
 
-  private void judgeAgain(MachineCapacity room) {
-    Zone zone = zones.get(room.machine.zone());
+  private void rescore(MachineCapacity machine) {
+    ZoneRanking zone = zones.get(machine.machine.zone());
     if (zone == null) {
-      return; // None of its zone came into question, and room only shrinks.
+      return; // No machine of the zone fitted a task, and free capacity only shrinks in a pass.
     }
-    ScoredCandidate before = current.get(room);
+    ScoredCandidate before = rescored.get(machine);
     if (before != null) {
       zone.changed.remove(before);
     }
-    ScoredCandidate now = judge.apply(room);
-    current.put(room, now);
+    ScoredCandidate now = scorer.apply(machine);
+    rescored.put(machine, now);
     if (now != null) {
       zone.changed.add(now);
     }
   }
 
   /**
-   * The best rooms of each zone that pass a test, the zone with the best one first; null if too few are
-   * ranked to tell.
+   * The best eligible machines of each zone; the zone with the best machine comes first. Null if
+   * too few machines are ranked to find them.
    */
-  Map<String, List<MachineCapacity>> best(int mostInZone, Predicate<ScoredCandidate> test) {
+  Map<String, List<MachineCapacity>> best(int maxInZone, Predicate<ScoredCandidate> eligible) {
     update();
     List<List<ScoredCandidate>> found = new ArrayList<>();
-    for (Zone zone : zones.values()) {
-      List<ScoredCandidate> best = best(zone, mostInZone, test);
+    for (ZoneRanking zone : zones.values()) {
+      List<ScoredCandidate> best = best(zone, maxInZone, eligible);
       if (best == null) {
         return null;
       }
@@ -126,25 +130,28 @@
     found.sort((one, other) -> one.get(0).compareTo(other.get(0)));
     Map<String, List<MachineCapacity>> result = new LinkedHashMap<>();
     for (List<ScoredCandidate> zone : found) {
-      List<MachineCapacity> rooms = new ArrayList<>(zone.size());
-      zone.forEach(scored -> rooms.add(scored.room()));
-      result.put(zone.get(0).room().machine.zone(), rooms);
+      List<MachineCapacity> machines = new ArrayList<>(zone.size());
+      zone.forEach(candidate -> machines.add(candidate.machine()));
+      result.put(zone.get(0).machine().machine.zone(), machines);
     }
     return result;
   }
 
-  /** Merges the ranked rooms that have not changed with those that have. */
-  private List<ScoredCandidate> best(Zone zone, int most, Predicate<ScoredCandidate> test) {
+  /** Merges the ranked machines that have not changed with the rescored ones. */
+  private List<ScoredCandidate> best(
+      ZoneRanking zone, int maxInZone, Predicate<ScoredCandidate> eligible) {
     List<ScoredCandidate> best = new ArrayList<>();
     var changed = zone.changed.iterator();
     ScoredCandidate nextChanged = changed.hasNext() ? changed.next() : null;
-    int at = zone.first;
-    while (best.size() < most) {
-      while (at < zone.ranked.size() && current.containsKey(zone.ranked.get(at).room())) {
-        at++;
+    int rankedIndex = zone.firstUnchanged;
+    while (best.size() < maxInZone) {
+      while (rankedIndex < zone.ranked.size()
+          && rescored.containsKey(zone.ranked.get(rankedIndex).machine())) {
+        rankedIndex++;
       }
-      ScoredCandidate nextRanked = at < zone.ranked.size() ? zone.ranked.get(at) : null;
-      if (nextRanked == null && zone.cut) {
+      ScoredCandidate nextRanked =
+          rankedIndex < zone.ranked.size() ? zone.ranked.get(rankedIndex) : null;
+      if (nextRanked == null && zone.truncated) {
         return null;
       }
       if (nextRanked == null && nextChanged == null) {
@@ -154,11 +161,11 @@
           nextChanged == null || (nextRanked != null && nextRanked.compareTo(nextChanged) < 0);
       ScoredCandidate next = takeRanked ? nextRanked : nextChanged;
       if (takeRanked) {
-        at++;
+        rankedIndex++;
       } else {
         nextChanged = changed.hasNext() ? changed.next() : null;
       }
-      if (test.test(next)) {
+      if (eligible.test(next)) {
         best.add(next);
       }
     }
--- a/src/main/java/io/tansystack/schedule/CandidateSelector.java
+++ b/src/main/java/io/tansystack/schedule/CandidateSelector.java
@@ -13,309 +13,356 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** The machines that come into question for a job, in the order of predicted delivery, within one pass. */
+/**
+ * Finds the machines that are candidates for a job's tasks within one pass, ordered by predicted
+ * completion time.
+ */
 final class CandidateSelector {
   /**
-   * Predictions that differ by less than this part of the run time are nearly equal: machines of a type
-   * differ by as much, and owners' estimates by more.
+   * Predictions that differ by less than this fraction of the run time count as nearly equal:
+   * machines of one type differ by as much, and users' estimates are off by more.
    */
-  private static final double NEAR = 0.1;
+  private static final double NEARLY_EQUAL_FRACTION = 0.1;
 
-  /** Whether a task takes the place of one that needs the machine's accelerators. */
-  private static final int USABLE = 0;
+  /**
+   * Values of {@link ScoredCandidate#tier}: the task leaves the machine's accelerators usable, or
+   * it strands some by taking CPUs or memory that a task needing them would need too.
+   */
+  private static final int GPUS_USABLE = 0;
 
-  private static final int SPOILED = 1;
+  private static final int GPUS_STRANDED = 1;
 
-  /** Whole machines that the tasks fill, machines that are begun, and other whole ones. */
-  private static final int FILLED = 0;
+  /**
+   * Values of {@link ScoredCandidate#fragmentation}: whole machines that the tasks fill, machines
+   * that are already partly used, and whole machines that a task would fragment.
+   */
+  private static final int WHOLE_FILLED = 0;
 
-  private static final int BEGUN = 1;
-  private static final int WHOLE = 2;
+  private static final int PARTLY_USED = 1;
+  private static final int WHOLE_FRAGMENTED = 2;
 
-  /** One machine in so many is left whole for larger tasks, while others will do. */
-  private static final int LEFT_WHOLE = 50;
+  /**
+   * One whole machine, and one more for every this many machines of the cluster, is left for larger
+   * tasks as long as other machines will do.
+   */
+  private static final int MACHINES_PER_SPARE_WHOLE = 50;
 
-  /** All that decides between rooms for a job whose run time does not count. */
-  private record Question(ResourceRequest ask, String image, double imageGb) {}
+  /** All that affects the choice of a machine for a job whose run time estimate is 0. */
+  private record RankingKey(ResourceRequest request, String image, double imageGb) {}
 
-  private final ClusterCapacity rooms;
+  private final ClusterCapacity clusterCapacity;
   private final CapacityIndex index;
-  private final AcceleratorReservation keep;
-  private final Map<Question, CandidateRanking> rankings = new HashMap<>();
+  private final AcceleratorReservation reservation;
+  private final Map<RankingKey, CandidateRanking> rankings = new HashMap<>();
 
   /**
-   * Asks for which no room was left, since all that fit are kept for others, with the number of changes
-   * that the pass had made by then: until it makes another one, nobody who asks the same finds any.
+   * Requests for which no machine was left, since all that fit are reserved for other jobs, with
+   * the number of changes that the pass had made by then. Until the pass makes another change, no
+   * job with the same request finds a machine.
    */
-  private final Map<ResourceRequest, Integer> nothingLeft = new HashMap<>();
+  private final Map<ResourceRequest, Integer> changesAtExhaustion = new HashMap<>();
 
-  CandidateSelector(ClusterCapacity rooms, CapacityIndex index, AcceleratorReservation keep) {
-    this.rooms = rooms;
+  CandidateSelector(
+      ClusterCapacity clusterCapacity, CapacityIndex index, AcceleratorReservation reservation) {
+    this.clusterCapacity = clusterCapacity;
     this.index = index;
-    this.keep = keep;
+    this.reservation = reservation;
   }
 
   /**
-   * Fitting machines, best first. Machines with accelerators come after the others for tasks that
-   * need none, unless what they take leaves the accelerators usable: otherwise the cheap tasks would
-   * keep gangs from their only machines. Equal predictions are decided towards fuller machines; nearly
-   * equal ones by what they leave whole, where larger tasks need whole machines.
+   * All machines that fit a task, best first. For tasks that need no accelerators, machines with
+   * accelerators come after the others, unless the task leaves the accelerators usable: otherwise
+   * small tasks would keep gangs from the only machines that fit them. Equal predictions are
+   * decided in favour of fuller machines. Where larger tasks need whole machines, nearly equal
+   * predictions are decided in favour of machines that don't have to be fragmented.
    */
   List<MachineCapacity> all(JobState job) {
-    List<ScoredCandidate> scored = scored(job, 0);
-    scored.sort(null);
-    return rooms(scored);
+    List<ScoredCandidate> candidates = scoreAll(job, 0);
+    candidates.sort(null);
+    return machines(candidates);
   }
 
   /**
-   * The best machines for so many tasks: as many as a round can name, and one more.
+   * The best machines for a number of tasks: as many as a placement round can use, and one more.
    *
-   * @param most a record can hold so many placements only: where the first machines would not take all
-   *     tasks, the roomiest among equals come first
-   * @param named a round can name so many machines
+   * @param maxPlacements how many more placements the job's record can hold; where the first
+   *     machines would not take all tasks, those that fit the most come first among equal
+   *     predictions
+   * @param maxMachines how many machines a round of the job can use
    */
-  List<MachineCapacity> best(JobState job, int tasks, int most, int named) {
-    if (nothingIsLeft(job)) {
+  List<MachineCapacity> best(JobState job, int tasks, int maxPlacements, int maxMachines) {
+    if (isExhausted(job)) {
       return List.of();
     }
-    if (tasks <= most && keep.larger(job.record().spec()).isEmpty()) {
-      List<ScoredCandidate> least = leastOfAll(job, named + 1);
-      remember(job, least.isEmpty());
-      return rooms(least);
+    if (tasks <= maxPlacements && reservation.larger(job.record().spec()).isEmpty()) {
+      List<ScoredCandidate> top = topCandidates(job, maxMachines + 1);
+      recordIfExhausted(job, top.isEmpty());
+      return machines(top);
     }
-    List<ScoredCandidate> scored = scored(job, tasks);
+    List<ScoredCandidate> candidates = scoreAll(job, tasks);
     Comparator<ScoredCandidate> order = Comparator.naturalOrder();
-    if (tasks > most && scored.size() > most && placesIn(job, least(scored, most, order)) < tasks) {
-      order = ScoredCandidate.roomiestFirst(ResourceRequest.of(job.record().spec()));
+    if (tasks > maxPlacements
+        && candidates.size() > maxPlacements
+        && totalFits(job, top(candidates, maxPlacements, order)) < tasks) {
+      order = ScoredCandidate.mostTasksFirst(ResourceRequest.of(job.record().spec()));
     }
-    return rooms(least(scored, named + 1, order));
+    return machines(top(candidates, maxMachines + 1, order));
   }
 
-  private boolean nothingIsLeft(JobState job) {
-    Integer changes = nothingLeft.get(ResourceRequest.of(job.record().spec()));
-    return changes != null && changes == rooms.changes().size();
+  private boolean isExhausted(JobState job) {
+    Integer changes = changesAtExhaustion.get(ResourceRequest.of(job.record().spec()));
+    return changes != null && changes == clusterCapacity.changes().size();
   }
 
-  private void remember(JobState job, boolean nothing) {
-    if (nothing && job.avoid().isEmpty()) {
-      nothingLeft.put(ResourceRequest.of(job.record().spec()), rooms.changes().size());
+  private void recordIfExhausted(JobState job, boolean noneFound) {
+    if (noneFound && job.excludedMachines().isEmpty()) {
+      changesAtExhaustion.put(
+          ResourceRequest.of(job.record().spec()), clusterCapacity.changes().size());
     }
   }
 
-  /** The least ones of all, without keeping what is worse: most rooms are. */
-  private List<ScoredCandidate> leastOfAll(JobState job, int most) {
+  /** The best candidates, in order, without collecting the worse ones, which most machines are. */
+  private List<ScoredCandidate> topCandidates(JobState job, int count) {
     JobSpec spec = job.record().spec();
-    PriorityQueue<ScoredCandidate> least = new PriorityQueue<>(most, Comparator.reverseOrder());
-    for (MachineCapacity room : index.fitting(ResourceRequest.of(spec))) {
-      ScoredCandidate worst = least.size() < most ? null : least.peek();
-      if (worst != null && worst.tier() == USABLE && room.delivery(spec) > worst.step()) {
+    PriorityQueue<ScoredCandidate> top = new PriorityQueue<>(count, Comparator.reverseOrder());
+    for (MachineCapacity machine : index.fitting(ResourceRequest.of(spec))) {
+      ScoredCandidate worst = top.size() < count ? null : top.peek();
+      if (worst != null
+          && worst.tier() == GPUS_USABLE
+          && machine.delivery(spec) > worst.completionStep()) {
         continue;
       }
-      ScoredCandidate judged = judge(spec, room);
-      boolean better = worst == null || judged.compareTo(worst) < 0;
-      if (better && mayTake(job, judged)) {
+      ScoredCandidate candidate = score(spec, machine);
+      boolean better = worst == null || candidate.compareTo(worst) < 0;
+      if (better && isEligible(job, candidate)) {
         if (worst != null) {
-          least.poll();
+          top.poll();
         }
-        least.add(judged);
+        top.add(candidate);
       }
     }
-    List<ScoredCandidate> result = new ArrayList<>(least);
+    List<ScoredCandidate> result = new ArrayList<>(top);
     result.sort(null);
     return result;
   }
 
-  /** Whether nothing but room speaks against it: neither an earlier failure nor what is kept for others. */
-  private boolean mayTake(JobState job, ScoredCandidate judged) {
-    return !job.avoid().contains(judged.room().machine.name())
-        && (judged.tier() == USABLE || !keep.keptForOthers(judged.room()));
+  /**
+   * Whether the job may use the machine, apart from its free capacity: it is not excluded after an
+   * earlier failure, and not reserved for other jobs whose accelerators the task would strand.
+   */
+  private boolean isEligible(JobState job, ScoredCandidate candidate) {
+    return !job.excludedMachines().contains(candidate.machine().machine.name())
+        && (candidate.tier() == GPUS_USABLE || !reservation.keptForOthers(candidate.machine()));
   }
 
-  /** The best machines of each zone, as many as there are tasks; the zone with the best one first. */
+  /**
+   * The best machines of each zone, at most as many as there are tasks; the zone with the best
+   * machine comes first.
+   */
   Map<String, List<MachineCapacity>> bestByZone(JobState job, int tasks) {
     JobSpec spec = job.record().spec();
-    if (nothingIsLeft(job)) {
+    if (isExhausted(job)) {
       return Map.of();
     }
-    if (spec.estimateS() <= 0 && keep.larger(spec).isEmpty()) {
-      Map<String, List<MachineCapacity>> ranked = ranked(job, tasks);
+    if (spec.estimateS() <= 0 && reservation.larger(spec).isEmpty()) {
+      Map<String, List<MachineCapacity>> ranked = rankedByZone(job, tasks);
       if (ranked != null) {
-        remember(job, ranked.isEmpty());
+        recordIfExhausted(job, ranked.isEmpty());
         return ranked;
       }
     }
     Comparator<ScoredCandidate> order = Comparator.naturalOrder();
     List<List<ScoredCandidate>> zones =
-        new ArrayList<>(byZone(scored(job, tasks), tasks, order).values());
-    remember(job, zones.isEmpty());
+        new ArrayList<>(byZone(scoreAll(job, tasks), tasks, order).values());
+    recordIfExhausted(job, zones.isEmpty());
     zones.sort((one, other) -> order.compare(one.get(0), other.get(0)));
     Map<String, List<MachineCapacity>> result = new LinkedHashMap<>();
     for (List<ScoredCandidate> zone : zones) {
-      result.put(zone.get(0).room().machine.zone(), rooms(zone));
+      result.put(zone.get(0).machine().machine.zone(), machines(zone));
     }
     return result;
   }
 
-  /** The same from a ranking that serves all jobs that are alike; null if it ranks too few rooms. */
-  private Map<String, List<MachineCapacity>> ranked(JobState job, int tasks) {
+  /**
+   * Does the same as {@link #bestByZone} with a ranking shared by all jobs with the same key; null
+   * if it ranks too few machines.
+   */
+  private Map<String, List<MachineCapacity>> rankedByZone(JobState job, int tasks) {
     JobSpec spec = job.record().spec();
-    Question question = new Question(ResourceRequest.of(spec), spec.image(), spec.imageGb());
-    Predicate<ScoredCandidate> test = judged -> mayTake(job, judged);
-    CandidateRanking known = rankings.get(question);
-    Map<String, List<MachineCapacity>> best = known == null ? null : known.best(tasks, test);
-    if (best == null && (known == null || known.hasChanged())) {
-      CandidateRanking made = ranking(spec, question.ask);
-      rankings.put(question, made);
-      best = made.best(tasks, test);
+    RankingKey key = new RankingKey(ResourceRequest.of(spec), spec.image(), spec.imageGb());
+    Predicate<ScoredCandidate> eligible = candidate -> isEligible(job, candidate);
+    CandidateRanking cached = rankings.get(key);
+    Map<String, List<MachineCapacity>> best = cached == null ? null : cached.best(tasks, eligible);
+    if (best == null && (cached == null || cached.hasChanged())) {
+      CandidateRanking rebuilt = ranking(spec, key.request);
+      rankings.put(key, rebuilt);
+      best = rebuilt.best(tasks, eligible);
     }
     return best;
   }
 
-  private CandidateRanking ranking(JobSpec spec, ResourceRequest ask) {
-    Predicate<MachineCapacity> allowed = index.allowed(ask);
+  private CandidateRanking ranking(JobSpec spec, ResourceRequest request) {
+    Predicate<MachineCapacity> allowed = index.allowed(request);
     return new CandidateRanking(
-        index.fitting(ask),
-        rooms.changes(),
-        room -> allowed.test(room) && room.fitsOne(ask) ? judge(spec, room) : null);
+        index.fitting(request),
+        clusterCapacity.changes(),
+        machine -> allowed.test(machine) && machine.fitsOne(request) ? score(spec, machine) : null);
   }
 
-  private ScoredCandidate judge(JobSpec spec, MachineCapacity room) {
-    double delivery = room.delivery(spec);
-    int tier = keep.spoils(spec, room) ? SPOILED : USABLE;
-    return new ScoredCandidate(room, tier, delivery, 0, 0, room.cpus - spec.cpus(), delivery);
+  private ScoredCandidate score(JobSpec spec, MachineCapacity machine) {
+    double completionS = machine.delivery(spec);
+    int tier = reservation.spoils(spec, machine) ? GPUS_STRANDED : GPUS_USABLE;
+    return new ScoredCandidate(
+        machine, tier, completionS, 0, 0, machine.cpus - spec.cpus(), completionS);
   }
 
   /**
-   * Groups of machines that a gang of so many tasks may choose from: those of each zone where one has to
-   * take all, otherwise one of all zones. Best first.
+   * The groups of machines from which a gang of this many tasks may choose: one group for each zone
+   * if one zone has to take all tasks, otherwise a single group of all zones. Best machines first.
    */
   List<List<MachineCapacity>> forGang(JobState job, int tasks) {
-    return groups(job, tasks, Comparator.naturalOrder());
+    return gangGroups(job, tasks, Comparator.naturalOrder());
   }
 
-  /** The same, with those first that take the most tasks. */
-  List<List<MachineCapacity>> roomiestForGang(JobState job, int machines) {
-    ResourceRequest ask = ResourceRequest.of(job.record().spec());
-    Comparator<ScoredCandidate> roomiest = Comparator.comparingInt(s -> -s.room().fits(ask));
-    return groups(job, machines, roomiest.thenComparing(Comparator.naturalOrder()));
+  /** Does the same as {@link #forGang}, but machines that fit the most tasks come first. */
+  List<List<MachineCapacity>> largestFirstForGang(JobState job, int maxInZone) {
+    ResourceRequest request = ResourceRequest.of(job.record().spec());
+    Comparator<ScoredCandidate> mostTasksFirst =
+        Comparator.comparingInt(s -> -s.machine().fits(request));
+    return gangGroups(job, maxInZone, mostTasksFirst.thenComparing(Comparator.naturalOrder()));
   }
 
-  private List<List<MachineCapacity>> groups(
-      JobState job, int mostInZone, Comparator<ScoredCandidate> order) {
-    Map<String, List<ScoredCandidate>> zones = byZone(scored(job, 0), mostInZone, order);
+  private List<List<MachineCapacity>> gangGroups(
+      JobState job, int maxInZone, Comparator<ScoredCandidate> order) {
+    Map<String, List<ScoredCandidate>> zones = byZone(scoreAll(job, 0), maxInZone, order);
     if (job.record().spec().sameZone()) {
-      return zones.values().stream().map(CandidateSelector::rooms).toList();
+      return zones.values().stream().map(CandidateSelector::machines).toList();
     }
     List<ScoredCandidate> all = new ArrayList<>();
     zones.values().forEach(all::addAll);
     all.sort(order);
-    return all.isEmpty() ? List.of() : List.of(rooms(all));
+    return all.isEmpty() ? List.of() : List.of(machines(all));
   }
 
-  /** The best of each zone, in the order of the zones' names. */
+  /** The best candidates of each zone, in the order of the zones' names. */
   private static Map<String, List<ScoredCandidate>> byZone(
-      List<ScoredCandidate> scored, int most, Comparator<ScoredCandidate> order) {
+      List<ScoredCandidate> candidates, int maxInZone, Comparator<ScoredCandidate> order) {
     Map<String, List<ScoredCandidate>> zones = new TreeMap<>();
-    for (ScoredCandidate s : scored) {
-      zones.computeIfAbsent(s.room().machine.zone(), k -> new ArrayList<>()).add(s);
+    for (ScoredCandidate s : candidates) {
+      zones.computeIfAbsent(s.machine().machine.zone(), k -> new ArrayList<>()).add(s);
     }
-    zones.replaceAll((zone, list) -> least(list, most, order));
+    zones.replaceAll((zone, list) -> top(list, maxInZone, order));
     return zones;
   }
 
-  private static List<MachineCapacity> rooms(List<ScoredCandidate> scored) {
-    List<MachineCapacity> rooms = new ArrayList<>(scored.size());
-    scored.forEach(s -> rooms.add(s.room()));
-    return rooms;
+  private static List<MachineCapacity> machines(List<ScoredCandidate> candidates) {
+    List<MachineCapacity> machines = new ArrayList<>(candidates.size());
+    candidates.forEach(s -> machines.add(s.machine()));
+    return machines;
   }
 
-  /** The least ones, in order, without sorting all. */
-  static List<ScoredCandidate> least(
-      List<ScoredCandidate> scored, int most, Comparator<ScoredCandidate> order) {
-    if (scored.size() <= most) {
-      List<ScoredCandidate> all = new ArrayList<>(scored);
+  /** The first {@code count} candidates in the given order, without sorting all of them. */
+  static List<ScoredCandidate> top(
+      List<ScoredCandidate> candidates, int count, Comparator<ScoredCandidate> order) {
+    if (candidates.size() <= count) {
+      List<ScoredCandidate> all = new ArrayList<>(candidates);
       all.sort(order);
       return all;
     }
-    if (most <= 0) {
+    if (count <= 0) {
       return List.of();
     }
-    PriorityQueue<ScoredCandidate> least = new PriorityQueue<>(most, order.reversed());
-    for (ScoredCandidate s : scored) {
-      if (least.size() < most) {
-        least.add(s);
-      } else if (order.compare(s, least.peek()) < 0) {
-        least.poll();
-        least.add(s);
+    PriorityQueue<ScoredCandidate> top = new PriorityQueue<>(count, order.reversed());
+    for (ScoredCandidate s : candidates) {
+      if (top.size() < count) {
+        top.add(s);
+      } else if (order.compare(s, top.peek()) < 0) {
+        top.poll();
+        top.add(s);
       }
     }
-    List<ScoredCandidate> result = new ArrayList<>(least);
+    List<ScoredCandidate> result = new ArrayList<>(top);
     result.sort(order);
     return result;
   }
 
-  private List<ScoredCandidate> scored(JobState job, int tasks) {
+  /** Scores all eligible machines that fit a task, in no particular order. */
+  private List<ScoredCandidate> scoreAll(JobState job, int tasks) {
     JobSpec spec = job.record().spec();
-    List<JobSpec> larger = keep.larger(spec);
-    List<ScoredCandidate> scored = new ArrayList<>();
-    for (MachineCapacity room : index.fitting(ResourceRequest.of(spec))) {
-      ScoredCandidate judged = judge(spec, room);
-      if (mayTake(job, judged)) {
-        scored.add(judged);
+    List<JobSpec> larger = reservation.larger(spec);
+    List<ScoredCandidate> candidates = new ArrayList<>();
+    for (MachineCapacity machine : index.fitting(ResourceRequest.of(spec))) {
+      ScoredCandidate candidate = score(spec, machine);
+      if (isEligible(job, candidate)) {
+        candidates.add(candidate);
       }
     }
     if (!larger.isEmpty()) {
-      keepWhole(scored, spec, larger, tasks, rooms.size());
+      avoidFragmentation(candidates, spec, larger, tasks, clusterCapacity.size());
     }
-    return scored;
+    return candidates;
   }
 
-  private static int placesIn(JobState job, List<ScoredCandidate> scored) {
-    ResourceRequest ask = ResourceRequest.of(job.record().spec());
-    int places = 0;
-    for (ScoredCandidate s : scored) {
-      places += s.room().fits(ask);
+  /** How many of the job's tasks fit on the candidates together. */
+  private static int totalFits(JobState job, List<ScoredCandidate> candidates) {
+    ResourceRequest request = ResourceRequest.of(job.record().spec());
+    int total = 0;
+    for (ScoredCandidate s : candidates) {
+      total += s.machine().fits(request);
     }
-    return places;
+    return total;
   }
 
   /**
-   * Of those nearly as good as the best left, cheap ones come before dear ones. As many whole machines as
-   * the tasks fill come first: tasks that came together end together, and leave them whole again. What is
-   * left over goes to machines that are begun, full ones first. Some whole ones are left for the larger
-   * tasks that come next.
+   * Scores the candidates again so that whole machines remain for larger tasks. Of candidates with
+   * nearly equal predictions, as many whole machines as the tasks fill come first: tasks that
+   * arrive together end together and leave these machines whole again. The other tasks go to
+   * machines that are partly used, and the whole machines that they would fragment come last.
+   * Within each of these three groups, cheap machines come before expensive ones, then fuller ones
+   * before emptier ones. Some whole machines are left for the larger tasks that arrive next.
    */
-  private static void keepWhole(
-      List<ScoredCandidate> scored, JobSpec spec, List<JobSpec> larger, int tasks, int machines) {
-    double near = Math.max(0.5, spec.estimateS() * NEAR);
-    double best = scored.stream().mapToDouble(ScoredCandidate::delivery).min().orElse(0);
-    scored.replaceAll(
+  private static void avoidFragmentation(
+      List<ScoredCandidate> candidates,
+      JobSpec spec,
+      List<JobSpec> larger,
+      int tasks,
+      int clusterSize) {
+    double nearlyEqualS = Math.max(0.5, spec.estimateS() * NEARLY_EQUAL_FRACTION);
+    double bestS = candidates.stream().mapToDouble(ScoredCandidate::completionS).min().orElse(0);
+    candidates.replaceAll(
         s ->
             new ScoredCandidate(
-                s.room(),
+                s.machine(),
                 s.tier(),
-                Math.floor((s.delivery() - best) / near),
-                breaks(spec, s.room(), larger) ? WHOLE : BEGUN,
-                price(s.room().machine),
-                s.room().gpus - spec.gpus(),
-                s.delivery()));
-    scored.sort(null);
-    int spare = 0;
-    for (ScoredCandidate s : scored) {
-      spare += s.rank() == WHOLE ? 1 : 0;
+                Math.floor((s.completionS() - bestS) / nearlyEqualS),
+                fragments(spec, s.machine(), larger) ? WHOLE_FRAGMENTED : PARTLY_USED,
+                price(s.machine().machine),
+                s.machine().gpus - spec.gpus(),
+                s.completionS()));
+    candidates.sort(null);
+    int spareWhole = 0;
+    for (ScoredCandidate s : candidates) {
+      spareWhole += s.fragmentation() == WHOLE_FRAGMENTED ? 1 : 0;
     }
-    spare -= 1 + machines / LEFT_WHOLE;
-    int left = tasks;
-    for (int i = 0; i < scored.size(); i++) {
-      ScoredCandidate s = scored.get(i);
-      int fits = s.rank() == WHOLE && spare > 0 ? s.room().fits(spec) : 0;
-      if (fits > 0 && left >= fits) {
-        left -= fits;
-        spare--;
-        scored.set(
+    spareWhole -= 1 + clusterSize / MACHINES_PER_SPARE_WHOLE;
+    int remaining = tasks;
+    for (int i = 0; i < candidates.size(); i++) {
+      ScoredCandidate s = candidates.get(i);
+      int fits =
+          s.fragmentation() == WHOLE_FRAGMENTED && spareWhole > 0 ? s.machine().fits(spec) : 0;
+      if (fits > 0 && remaining >= fits) {
+        remaining -= fits;
+        spareWhole--;
+        candidates.set(
             i,
             new ScoredCandidate(
-                s.room(), s.tier(), s.step(), FILLED, s.price(), s.slack(), s.delivery()));
+                s.machine(),
+                s.tier(),
+                s.completionStep(),
+                WHOLE_FILLED,
+                s.price(),
+                s.slack(),
+                s.completionS()));
       }
     }
   }
@@ -324,13 +371,16 @@
     return machine.spot() ? machine.type().spotPrice() : machine.type().price();
   }
 
-  /** Whether the task takes the place of a larger one. */
-  private static boolean breaks(JobSpec spec, MachineCapacity room, List<JobSpec> larger) {
-    for (JobSpec shape : larger) {
-      if (shape.allowsType(room.machine.type().name())
-          && room.fits(shape)
+  /** Whether the machine would fit fewer of some larger task after taking this one. */
+  private static boolean fragments(JobSpec spec, MachineCapacity machine, List<JobSpec> larger) {
+    for (JobSpec largerSpec : larger) {
+      if (largerSpec.allowsType(machine.machine.type().name())
+          && machine.fits(largerSpec)
               > MachineCapacity.count(
-                  shape, room.cpus - spec.cpus(), room.gpus - spec.gpus(), room.mem - spec.memGb())) {
+                  largerSpec,
+                  machine.cpus - spec.cpus(),
+                  machine.gpus - spec.gpus(),
+                  machine.mem - spec.memGb())) {
         return true;
       }
     }
--- a/src/main/java/io/tansystack/schedule/CapacityIndex.java
+++ b/src/main/java/io/tansystack/schedule/CapacityIndex.java
@@ -56,12 +56,12 @@
   /** Whether what asks so may stand in a room at all, be there space or not. */
   Predicate<MachineCapacity> allowed(ResourceRequest ask) {
     BitSet kinds = answer(ask).kinds;
-    return room -> room.machine.open() && kinds.get(room.kind);
+    return room -> room.machine.acceptsTasks() && kinds.get(room.kind);
   }
 
   /** Whether the job may. */
   Predicate<MachineCapacity> allowed(JobState job, ResourceRequest ask) {
-    Set<String> avoid = job.avoid();
+    Set<String> avoid = job.excludedMachines();
     return allowed(ask).and(room -> !avoid.contains(room.machine.name()));
   }
 
--- a/src/main/java/io/tansystack/schedule/CapacityReclaimer.java
+++ b/src/main/java/io/tansystack/schedule/CapacityReclaimer.java
@@ -35,7 +35,7 @@
 
   /** Whether the job may have others' work stopped for it now. */
   boolean mayPreempt(JobState job) {
-    return job.impatient()
+    return job.preemptionDelayElapsed()
         && (job.record().spec().priority() != Priority.LOW || teams.guaranteed(job.id()));
   }
 
@@ -57,7 +57,7 @@
     int left = tasks;
     List<MachineCapacity> allowed = allowed(job, ask, mayPreempt);
     for (MachineCapacity room : allowed) {
-      while (left > 0 && room.fitsSoon(spec) && ZoneConstraints.allow(spec, zones, room)) {
+      while (left > 0 && room.fitsSoon(spec) && ZoneConstraints.allows(spec, zones, room)) {
         room.take(spec, 1);
         zones.addTo(room.machine.zone(), 1);
         left--;
@@ -65,7 +65,7 @@
     }
     if (left > 0 && mayPreempt) {
       left = preemption.stopFor(job, left, allowed, zones);
-      if (left > 0 && preemption.lookedAtAll() && job.avoid().isEmpty()) {
+      if (left > 0 && preemption.lookedAtAll() && job.excludedMachines().isEmpty()) {
         exhausted.add(ask, spec, owed, openZones(spec, zones));
       }
     }
@@ -74,11 +74,11 @@
 
   /** Zones that the job allows and in which more copies of it may stand. */
   private List<String> openZones(JobSpec spec, Object2IntOpenHashMap<String> zones) {
-    boolean matter = ZoneConstraints.matter(spec);
+    boolean matter = ZoneConstraints.matterFor(spec);
     List<String> open = new ArrayList<>();
     for (String zone : rooms.zones()) {
       boolean allowed = spec.zone() == null || spec.zone().equals(zone);
-      if (allowed && (!matter || ZoneConstraints.most(spec, zones, zone) > 0)) {
+      if (allowed && (!matter || ZoneConstraints.remaining(spec, zones, zone) > 0)) {
         open.add(zone);
       }
     }
--- a/src/main/java/io/tansystack/schedule/ClusterCapacity.java
+++ b/src/main/java/io/tansystack/schedule/ClusterCapacity.java
@@ -122,7 +122,7 @@
     int leaving = 0;
     for (Placement placement : record.placements()) {
       AllocatedTasks held = AllocatedTasks.of(record, placement);
-      leaving += held.active() && held.isService() && held.leaves() ? held.tasks() : 0;
+      leaving += held.active() && held.isService() && held.isReleasing() ? held.taskCount() : 0;
     }
     return leaving;
   }
--- a/src/main/java/io/tansystack/schedule/Consolidation.java
+++ b/src/main/java/io/tansystack/schedule/Consolidation.java
@@ -106,7 +106,7 @@
         break;
       }
       if (from.pinned
-          || !from.machine.open()
+          || !from.machine.acceptsTasks()
           || from.replicas.isEmpty()
           || !mayEmpty.test(from.machine)) {
         continue;
@@ -135,7 +135,7 @@
         if (f != from
             && !f.emptied
             && f.fits(spec)
-            && f.machine.open()
+            && f.machine.acceptsTasks()
             && (f.price() < from.price() || f.pinned || !f.replicas.isEmpty())
             && spec.allows(f.machine.type().name(), f.machine.zone(), f.machine.spot())) {
           target = f;
--- a/src/main/java/io/tansystack/schedule/Deadlines.java
+++ b/src/main/java/io/tansystack/schedule/Deadlines.java
@@ -10,48 +10,58 @@
 import java.util.Map;
 
 /**
- * Which of the aims for a job's deadline it can still meet. Where there is too little room for all,
- * serving by arrival alone makes everybody late: once the queue is longer than the deadlines, only
- * jobs whose deadline has passed are served. A job that can't be in time any more lets those go first
- * that can; what is late anyway loses little by being later.
+ * Determines which of its deadline objectives a job can still meet. When capacity is short, serving
+ * jobs by arrival alone makes all of them late: once the queue is longer than the deadlines, only
+ * jobs whose deadline has passed are served. A job that can't meet its deadline any more therefore
+ * goes after those that can; a job that is late anyway loses little by being later.
  */
 public final class Deadlines {
-  /** Estimates are often wrong by half, and the image has to be fetched. */
-  private static final double DOUBT = 1.5;
+  /**
+   * Factor on the estimate of a job that has not started: estimates are often wrong by half, and
+   * the image has to be fetched.
+   */
+  private static final double ESTIMATE_MARGIN = 1.5;
 
-  /** It lets others go first until so many times its deadline have passed: nothing starves. */
-  private static final double PATIENCE = 5;
+  /**
+   * A job goes after others until its age exceeds this many times its deadline; after that it no
+   * longer does, so that it doesn't starve.
+   */
+  private static final double MAX_DEADLINES_DEFERRED = 5;
 
-  /** Multiples of the deadline that the aims name, by class, ascending. */
-  private final Map<String, List<Double>> aims = new HashMap<>();
+  /** The objectives of each job class, as multiples of a job's deadline, ascending. */
+  private final Map<String, List<Double>> multiplesByClass = new HashMap<>();
 
+  /** @param objectives all objectives of the platform; only deadline objectives are used */
   public Deadlines(List<Objective> objectives) {
-    for (Objective aim : objectives) {
-      if (aim.kind().equals("deadline") && aim.jobClass() != null) {
-        aims.computeIfAbsent(aim.jobClass(), k -> new ArrayList<>()).add(aim.times());
+    for (Objective objective : objectives) {
+      if (objective.kind().equals("deadline") && objective.jobClass() != null) {
+        multiplesByClass
+            .computeIfAbsent(objective.jobClass(), k -> new ArrayList<>())
+            .add(objective.times());
       }
     }
-    aims.values().forEach(times -> times.sort(null));
+    multiplesByClass.values().forEach(multiples -> multiples.sort(null));
   }
 
   /**
-   * How many of its aims the job can't meet any more, even if all that is left of it started at this
-   * moment. One that has begun is given up on less easily, or jobs would be begun and left.
+   * How many of its objectives the job can't meet any more, even if all its remaining tasks started
+   * now. The estimate of a job that has started is taken without the margin, so that it is deferred
+   * later; otherwise jobs would be started and then left unfinished.
    */
-  public int missed(JobRecord record, long nowMs) {
+  public int missedObjectives(JobRecord record, long nowMs) {
     JobSpec spec = record.spec();
     if (spec.deadlineS() == null || spec.deadlineS() <= 0 || spec.shape() == JobKind.SERVICE) {
       return 0;
     }
     double ageS = (nowMs - record.submittedMs()) / 1000.0;
-    if (ageS > spec.deadlineS() * PATIENCE) {
+    if (ageS > spec.deadlineS() * MAX_DEADLINES_DEFERRED) {
       return 0;
     }
-    boolean begun = !record.done().isEmpty() || !record.placements().isEmpty();
-    double overS = ageS + spec.estimateS() * (begun ? 1 : DOUBT);
+    boolean started = !record.done().isEmpty() || !record.placements().isEmpty();
+    double completionAgeS = ageS + spec.estimateS() * (started ? 1 : ESTIMATE_MARGIN);
     int missed = 0;
-    for (double times : aims.getOrDefault(spec.jobClass(), List.of(1.0))) {
-      missed += overS > spec.deadlineS() * times ? 1 : 0;
+    for (double multiple : multiplesByClass.getOrDefault(spec.jobClass(), List.of(1.0))) {
+      missed += completionAgeS > spec.deadlineS() * multiple ? 1 : 0;
     }
     return missed;
   }
--- a/src/main/java/io/tansystack/schedule/JobQueueOrder.java
+++ b/src/main/java/io/tansystack/schedule/JobQueueOrder.java
@@ -8,55 +8,61 @@
 import java.util.List;
 
 /**
- * Whose turn it is among jobs of the same standing: by arrival, but an array lets others go first by
- * as long as the rest of it would keep a part of the cluster busy. Where there is too little room for
- * all, one huge array would otherwise keep everybody behind it waiting until nobody is in time; and
- * what waits for long still gets its turn, since arrivals go on and its handicap does not grow. Jobs
- * that can still be in time go before those that can't ({@link Deadlines}).
+ * Orders the jobs of one priority class: by submission time plus a queueing penalty. An array's
+ * penalty is the time for which its remaining tasks would keep a fixed share of the cluster busy.
+ * Without it, when capacity is short, one huge array would delay all jobs behind it until none of
+ * them meets its deadline. A job that has waited long still gets to the front, since later jobs
+ * keep arriving behind it and its penalty does not grow. Jobs that can still meet their deadline
+ * objectives go before those that can't ({@link Deadlines}).
  *
- * <p>None of these may keep an array from beginning for ever: the largest has the largest handicap, and a
- * late one lets all others go first. A large one that has waited for long and has not begun comes before
- * all others of its standing, with a single task, which is as much as a beginning needs.
+ * <p>Neither rule may permanently keep an array from starting: the largest array has the largest
+ * penalty, and one that misses its objectives goes after all others. A large array that has waited
+ * for long and has not started therefore comes before all other jobs of its class, but only with a
+ * single task, which is enough to count as started.
  */
 final class JobQueueOrder {
-  private static final double PART = 0.05;
+  /** The share of the cluster's CPUs that the penalty assumes for an array. */
+  private static final double CLUSTER_SHARE = 0.05;
 
-  /** An array with a longer handicap is a large one. */
-  private static final double LARGE_MS = 120_000;
+  /** An array with a longer penalty than this counts as large. */
+  private static final double LARGE_PENALTY_MS = 120_000;
 
-  private record Turn(double at, JobState job) {}
+  /** A job and its submission time plus penalty, in milliseconds. */
+  private record QueueEntry(double effectiveMs, JobState job) {}
 
-  private final double cpus;
+  private final double shareCpus;
 
-  /** @param cpus of all machines together */
+  /** @param cpus the CPUs of all machines together */
   JobQueueOrder(double cpus) {
-    this.cpus = Math.max(1, cpus * PART);
+    this.shareCpus = Math.max(1, cpus * CLUSTER_SHARE);
   }
 
+  /** Returns the jobs of one priority class in the order in which they are to be planned. */
   List<JobState> order(List<JobState> byArrival) {
-    List<Turn> turns = new ArrayList<>(byArrival.size());
+    List<QueueEntry> entries = new ArrayList<>(byArrival.size());
     for (JobState job : byArrival) {
-      turns.add(new Turn(job.record().submittedMs() + handicapMs(job), job));
+      entries.add(new QueueEntry(job.record().submittedMs() + penaltyMs(job), job));
     }
-    turns.sort(
-        Comparator.comparing((Turn turn) -> !passedOver(turn.job))
-            .thenComparingInt(turn -> turn.job.late())
-            .thenComparingDouble(Turn::at)
-            .thenComparing(turn -> turn.job.id()));
-    return turns.stream().map(Turn::job).toList();
+    entries.sort(
+        Comparator.comparing((QueueEntry entry) -> !starved(entry.job))
+            .thenComparingInt(entry -> entry.job.missedObjectives())
+            .thenComparingDouble(QueueEntry::effectiveMs)
+            .thenComparing(entry -> entry.job.id()));
+    return entries.stream().map(QueueEntry::job).toList();
   }
 
-  /** Whether the job is a large array that is due to begin. */
-  boolean passedOver(JobState job) {
-    return job.due() && handicapMs(job) > LARGE_MS;
+  /** Whether the job is a large array whose start is overdue. */
+  boolean starved(JobState job) {
+    return job.startOverdue() && penaltyMs(job) > LARGE_PENALTY_MS;
   }
 
-  private double handicapMs(JobState job) {
+  /** The queueing penalty of an array in milliseconds; 0 for other jobs. */
+  private double penaltyMs(JobState job) {
     JobSpec spec = job.record().spec();
     if (spec.shape() != JobKind.ARRAY) {
       return 0;
     }
-    int left = spec.tasks() - job.record().done().size();
-    return left * spec.cpus() * spec.estimateS() / cpus * 1000;
+    int remaining = spec.tasks() - job.record().done().size();
+    return remaining * spec.cpus() * spec.estimateS() / shareCpus * 1000;
   }
 }
--- a/src/main/java/io/tansystack/schedule/MachineCapacity.java
+++ b/src/main/java/io/tansystack/schedule/MachineCapacity.java
@@ -65,7 +65,7 @@
     gpus = state.type().gpus();
     mem = state.type().memGb();
     queuedGb = state.queuedGb();
-    coming = state.coming();
+    coming = state.fetchingImages();
     soonCpus = 0;
     soonGpus = 0;
     soonMem = 0;
@@ -74,12 +74,12 @@
     replicas = 0;
     Arrays.fill(heldBy, 0);
     for (AllocatedTasks tasks : recorded) {
-      subtract(tasks.spec(), tasks.tasks());
-      if (tasks.leaves()) {
-        addSoon(tasks.spec(), tasks.tasks());
+      subtract(tasks.spec(), tasks.taskCount());
+      if (tasks.isReleasing()) {
+        addSoon(tasks.spec(), tasks.taskCount());
       } else {
         held.add(tasks);
-        addHeld(tasks, tasks.tasks());
+        addHeld(tasks, tasks.taskCount());
       }
     }
     sorted = held.size() < 2;
@@ -198,13 +198,13 @@
   void hold(AllocatedTasks tasks) {
     held.add(tasks);
     sorted = false;
-    addHeld(tasks, tasks.tasks());
+    addHeld(tasks, tasks.taskCount());
     changes.add(this);
   }
 
   void release(AllocatedTasks tasks) {
     held.remove(tasks);
-    addHeld(tasks, -tasks.tasks());
+    addHeld(tasks, -tasks.taskCount());
     changes.add(this);
   }
 
--- a/src/main/java/io/tansystack/schedule/MachineHistory.java
+++ b/src/main/java/io/tansystack/schedule/MachineHistory.java
@@ -13,37 +13,75 @@
 import java.util.function.Function;
 
 /**
- * What a machine's reports teach: which images it holds, how fast it fetches, how its run times
- * compare to the estimates. The protocol reports none of these, so they are inferred from the moments
- * at which tasks change state. Time comes in with every report.
+ * Infers from a machine's reports which images it has cached, how fast it fetches images, and how
+ * its run times compare to the estimates. The protocol reports none of these, so they are inferred
+ * from the times at which tasks change state. The current time is passed in with every report.
  */
 public final class MachineHistory {
+  /** Weight of the latest sample in the moving average of the fetch bandwidth. */
   private static final double BANDWIDTH_WEIGHT = 0.4;
+
+  /**
+   * Least weight of the latest run in the moving average of run time ratios; the first four runs are
+   * averaged with equal weights.
+   */
   private static final double RUN_WEIGHT = 0.25;
 
+  /** Fetches that seem to have taken no longer than this, in seconds, give no bandwidth sample. */
+  private static final double MIN_FETCH_S = 0.2;
+
+  /** Ratios of run time to estimate are limited to this range before they are averaged. */
+  private static final double MIN_RUN_RATIO = 0.05;
+
+  private static final double MAX_RUN_RATIO = 20;
+
+  /** When an attempt of a task was first reported as running. */
   private record Running(long attempt, Duration since) {}
 
   private final double cacheGb;
+
+  /** Cached images with their sizes in GB, least recently used first. */
   private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
+
+  /** When each image was first reported as being fetched. */
   private final Map<String, Duration> fetchSince = new HashMap<>();
+
+  /** How many images were being fetched at that time: they share the bandwidth. */
   private final Map<String, Integer> fetchesAtStart = new HashMap<>();
+
+  /** Running attempts in the last report. */
   private Map<TaskId, Running> runningSince = new HashMap<>();
   private double fetchGbPerS;
-  private double logRatio;
+
+  /** Average logarithm of the ratio of run time to estimate. */
+  private double meanLogRatio;
+
   private int runs;
 
+  /** @param cacheGb size of the machine's image cache */
   public MachineHistory(double cacheGb) {
     this.cacheGb = cacheGb;
   }
 
-  /** Takes over what another owner knew of the images. */
-  public void inherit(Map<String, Double> known, double bandwidth) {
-    known.forEach(images::putIfAbsent);
+  /**
+   * Adopts what a previous owner of the machine inferred, where nothing is known yet.
+   *
+   * @param knownImages cached images with their sizes in GB
+   * @param bandwidth fetch bandwidth in GB/s, 0 if unknown
+   */
+  public void inherit(Map<String, Double> knownImages, double bandwidth) {
+    knownImages.forEach(images::putIfAbsent);
     if (fetchGbPerS == 0) {
       fetchGbPerS = bandwidth;
     }
   }
 
+  /**
+   * Evaluates a report.
+   *
+   * @param now when the report was received
+   * @param specs looks up a job by its ID; null for an unknown job, whose tasks are ignored
+   */
   public void observe(Report report, Duration now, Function<String, JobSpec> specs) {
     Map<TaskId, Running> running = new HashMap<>();
     Map<String, Double> fetching = new HashMap<>();
@@ -57,7 +95,7 @@
         fetching.put(spec.image(), spec.imageGb());
       } else if (!task.exited()) {
         if (spec != last) {
-          cached(spec, now); // Tasks of a job stand next to each other, as a rule.
+          recordCached(spec, now); // Once per job: its tasks are usually listed next to each other.
           last = spec;
         }
         if (task.state() == State.RUNNING) {
@@ -67,10 +105,10 @@
         }
       } else if (task.cause() == Cause.DONE) {
         Duration since = since(task);
-        cached(spec, now);
-        // With checkpoints an attempt may have begun in the middle: its time says nothing.
+        recordCached(spec, now);
+        // With checkpoints an attempt may resume midway, so its run time can't be compared.
         if (since != null && spec.estimateS() > 0 && spec.checkpointS() == 0) {
-          ran(seconds(now.minus(since)) / spec.estimateS());
+          recordRunRatio(seconds(now.minus(since)) / spec.estimateS());
         }
       }
     }
@@ -84,17 +122,22 @@
     runningSince = running;
   }
 
+  /** When the attempt was first reported as running; null if it was not. */
   private Duration since(TaskReport task) {
     Running known = runningSince.get(task.task());
     return known == null || known.attempt != task.attempt() ? null : known.since;
   }
 
-  private void cached(JobSpec spec, Duration now) {
-    Duration since = fetchSince.remove(spec.image());
-    if (since != null && !images.containsKey(spec.image())) {
-      double took = seconds(now.minus(since));
-      if (took > 0.2 && spec.imageGb() > 0) {
-        double sample = spec.imageGb() * fetchesAtStart.getOrDefault(spec.image(), 1) / took;
+  /**
+   * Records that a job's image is in the cache, takes a bandwidth sample if its fetch was observed,
+   * and removes the least recently used images that exceed the size of the cache.
+   */
+  private void recordCached(JobSpec spec, Duration now) {
+    Duration fetchStart = fetchSince.remove(spec.image());
+    if (fetchStart != null && !images.containsKey(spec.image())) {
+      double tookS = seconds(now.minus(fetchStart));
+      if (tookS > MIN_FETCH_S && spec.imageGb() > 0) {
+        double sample = spec.imageGb() * fetchesAtStart.getOrDefault(spec.image(), 1) / tookS;
         fetchGbPerS =
             fetchGbPerS == 0 ? sample : fetchGbPerS + BANDWIDTH_WEIGHT * (sample - fetchGbPerS);
       }
@@ -112,27 +155,28 @@
     }
   }
 
-  private void ran(double ratio) {
-    double log = Math.log(Math.max(0.05, Math.min(20, ratio)));
+  private void recordRunRatio(double ratio) {
+    double log = Math.log(Math.max(MIN_RUN_RATIO, Math.min(MAX_RUN_RATIO, ratio)));
     runs++;
-    logRatio += Math.max(RUN_WEIGHT, 1.0 / runs) * (log - logRatio);
+    meanLogRatio += Math.max(RUN_WEIGHT, 1.0 / runs) * (log - meanLogRatio);
   }
 
   private static double seconds(Duration duration) {
     return duration.toNanos() / 1e9;
   }
 
+  /** A copy of the cached images with their sizes in GB, least recently used first. */
   public Map<String, Double> images() {
     return new LinkedHashMap<>(images);
   }
 
-  /** Measured average, 0 if none is known. */
+  /** Average of the measured fetch bandwidth in GB/s; 0 if there is no measurement. */
   public double fetchGbPerS() {
     return fetchGbPerS;
   }
 
-  /** Run time over estimate, averaged; 0 while too few runs are known. */
+  /** Average ratio of run time to estimate; 0 before the second measured run. */
   public double slowness() {
-    return runs < 2 ? 0 : Math.exp(logRatio);
+    return runs < 2 ? 0 : Math.exp(meanLogRatio);
   }
 }
--- a/src/main/java/io/tansystack/schedule/Plan.java
+++ b/src/main/java/io/tansystack/schedule/Plan.java
@@ -7,38 +7,47 @@
 import java.util.Map;
 
 /**
- * The outcome of a pass over all jobs. Every controller computes the same plan from the same records
- * and carries out only what concerns its own slots' jobs.
+ * The result of a scheduling pass over all jobs. Every controller computes the same plan from the
+ * same records and carries out only the part that concerns the jobs of its own slots.
  *
- * @param placements new placements by job
- * @param stops placements to be stopped to make room, by job
- * @param unmet jobs with tasks that found no room, in planning order
+ * @param placements new placements by job ID
+ * @param evictions tasks to be stopped, by job ID: to free capacity for other jobs, or to move
+ *     replicas
+ * @param unmet jobs with tasks for which there is no capacity, in planning order
  */
 public record Plan(
     Map<String, List<Assignment>> placements,
-    Map<String, List<Eviction>> stops,
+    Map<String, List<Eviction>> evictions,
     List<UnmetDemand> unmet) {
 
-  /** Tasks of a job to be stopped on a machine. */
-  public record Eviction(String machine, TaskSet tasks, String forJob) {
-    private static final String MOVE = "a move to ";
+  /**
+   * Tasks of a job to be stopped on a machine.
+   *
+   * @param reason ID of the job for which they are preempted, or {@code a move to NAME} where a
+   *     replica moves to the machine NAME
+   */
+  public record Eviction(String machine, TaskSet tasks, String reason) {
+    private static final String MOVE_PREFIX = "a move to ";
 
-    /** A replica that is to come back on another machine. */
+    /** The stop of a replica that moves to another machine. */
     static Eviction move(String from, TaskSet tasks, String to) {
-      return new Eviction(from, tasks, MOVE + to);
+      return new Eviction(from, tasks, MOVE_PREFIX + to);
     }
 
     public boolean isMove() {
-      return forJob.startsWith(MOVE);
+      return reason.startsWith(MOVE_PREFIX);
     }
   }
 
   /**
-   * Tasks that found no room.
+   * Tasks of a job for which no capacity was found.
    *
-   * @param zones where the job's other tasks are, or have room, of a job for which zones matter: a machine
-   *     for these tasks is of use only in a zone that goes with those
+   * @param tasks how many tasks lack capacity
+   * @param guaranteed whether the job is covered by its team's guarantee
+   * @param tasksByZone how many of the job's other tasks run in, or found capacity in, each zone;
+   *     empty if zones don't matter for the job. A new machine is useful for these tasks only in a
+   *     zone that the job's zone constraints allow beside the others
    */
   public record UnmetDemand(
-      String job, JobSpec spec, int tasks, boolean guaranteed, Map<String, Integer> zones) {}
+      String job, JobSpec spec, int tasks, boolean guaranteed, Map<String, Integer> tasksByZone) {}
 }
--- a/src/main/java/io/tansystack/schedule/Planner.java
+++ b/src/main/java/io/tansystack/schedule/Planner.java
@@ -18,66 +18,81 @@
 import java.util.Map;
 
 /**
- * The paper's broker for a whole cluster: for each job in turn, the fitting machines are compared by
- * predicted time to delivery (image fetch, with queued fetches counted, plus run time scaled by how
- * fast the machine is), and its tasks go to the best. The plan depends on nothing but the snapshot
- * and the rooms, which say what is recorded.
+ * Plans one scheduling pass over the whole cluster, after the broker described in the paper. Jobs
+ * are planned one after another. For each job, the machines that fit are compared by predicted
+ * completion time (image fetch, including queued fetches, plus the run time scaled by the machine's
+ * speed), and its tasks go to the best machines. The plan depends only on the snapshot and on the
+ * cluster capacity, which reflects what is recorded.
  */
 public final class Planner {
   /**
-   * What bounds a pass.
+   * The limits of a pass.
    *
-   * @param record bounds the size of a job's record
-   * @param machines each machine chosen is a condition of the transaction that records the round
-   * @param jobs so many jobs of production are planned for, and half as many others; what could be written
-   *     only much later is planned anew by then, and of jobs behind these it is only told what room they lack
+   * @param recordLimit limit on the size of a job's record
+   * @param maxMachines how many machines one placement round of a job may use; each of them is a
+   *     condition of the transaction that records the round
+   * @param maxJobWrites how many job record changes may be planned for production jobs; half as
+   *     many for all others. Changes that could be written only much later would be planned again
+   *     by then, so for jobs beyond the limit only the capacity that they lack is reported
    */
-  public record Bounds(RecordSizeLimit record, int machines, int jobs) {}
+  public record Bounds(RecordSizeLimit recordLimit, int maxMachines, int maxJobWrites) {}
 
   private final Snapshot snapshot;
   private final Bounds bounds;
-  private final ClusterCapacity rooms;
-  private final TeamQuotaTracker teams;
-  private final AcceleratorReservation keep;
+  private final ClusterCapacity clusterCapacity;
+  private final TeamQuotaTracker teamQuotas;
+  private final AcceleratorReservation reservation;
   private final CandidateSelector candidates;
   private final TaskPlacer placer;
-  private final CapacityReclaimer roomMaker;
-  private final JobQueueOrder turns;
-  private int plannedOfProduction;
-  private int plannedOthers;
+  private final CapacityReclaimer reclaimer;
+  private final JobQueueOrder queueOrder;
+  private int productionWrites;
+  private int otherWrites;
   private final Plan plan =
       new Plan(new LinkedHashMap<>(), new LinkedHashMap<>(), new ArrayList<>());
 
-  private Planner(Snapshot snapshot, ClusterCapacity rooms, Bounds bounds) {
+  private Planner(Snapshot snapshot, ClusterCapacity clusterCapacity, Bounds bounds) {
     this.snapshot = snapshot;
     this.bounds = bounds;
-    this.rooms = rooms;
-    rooms.beginPass();
-    this.teams = new TeamQuotaTracker(snapshot.teams(), rooms.teams());
-    this.keep = new AcceleratorReservation(rooms, snapshot.booting());
-    CapacityIndex index = new CapacityIndex(rooms);
-    this.candidates = new CandidateSelector(rooms, index, keep);
-    this.placer = new TaskPlacer(rooms, index, keep, candidates, bounds.record, bounds.machines);
-    Preemption preemption = new Preemption(teams, plan, rooms.leaving());
-    this.roomMaker = new CapacityReclaimer(rooms, index, keep, teams, preemption);
-    this.turns = new JobQueueOrder(rooms.cpus());
+    this.clusterCapacity = clusterCapacity;
+    clusterCapacity.beginPass();
+    this.teamQuotas = new TeamQuotaTracker(snapshot.teams(), clusterCapacity.teams());
+    this.reservation = new AcceleratorReservation(clusterCapacity, snapshot.booting());
+    CapacityIndex index = new CapacityIndex(clusterCapacity);
+    this.candidates = new CandidateSelector(clusterCapacity, index, reservation);
+    this.placer =
+        new TaskPlacer(
+            clusterCapacity,
+            index,
+            reservation,
+            candidates,
+            bounds.recordLimit,
+            bounds.maxMachines);
+    Preemption preemption = new Preemption(teamQuotas, plan, clusterCapacity.leaving());
+    this.reclaimer =
+        new CapacityReclaimer(clusterCapacity, index, reservation, teamQuotas, preemption);
+    this.queueOrder = new JobQueueOrder(clusterCapacity.cpus());
   }
 
-  /** Plans for the snapshot's jobs over rooms that were made anew. */
+  /** Plans for the snapshot's jobs on capacity computed from the snapshot alone. */
   public static Plan plan(Snapshot snapshot, Bounds bounds) {
     return plan(snapshot, ClusterCapacity.of(snapshot.machines(), snapshot.jobs()), bounds);
   }
 
-  /** Plans over rooms that hold the records of all the snapshot's jobs. */
-  public static Plan plan(Snapshot snapshot, ClusterCapacity rooms, Bounds bounds) {
-    return new Planner(snapshot, rooms, bounds).run();
+  /**
+   * Plans for the snapshot's jobs.
+   *
+   * @param clusterCapacity must reflect the records of all jobs in the snapshot
+   */
+  public static Plan plan(Snapshot snapshot, ClusterCapacity clusterCapacity, Bounds bounds) {
+    return new Planner(snapshot, clusterCapacity, bounds).run();
   }
 
   private Plan run() {
     List<JobState> active = new ArrayList<>();
     for (JobState job : snapshot.jobs()) {
-      if (placer.canBeNamed(job)) {
-        keep.count(job);
+      if (placer.fitsOneTransaction(job)) {
+        reservation.count(job);
       }
       if (job.record().active()) {
         active.add(job);
@@ -86,163 +101,191 @@
     active.sort(
         Comparator.comparingLong((JobState j) -> j.record().submittedMs())
             .thenComparing(JobState::id));
-    teams.markGuaranteed(active);
-    List<JobState> open = active.stream().filter(JobState::open).toList();
-    ReplicaMoves moves = new ReplicaMoves(rooms, keep, plan, candidates::all);
-    boolean moved = !snapshot.movable();
-    for (JobState job : byPriority(open)) {
-      if (!moved && job.record().spec().priority() == Priority.LOW) {
-        moves.run(active, rooms.replicasLeaving());
-        moved = true;
+    teamQuotas.markGuaranteed(active);
+    List<JobState> withUnplacedTasks = active.stream().filter(JobState::hasUnplacedTasks).toList();
+    ReplicaMoves moves = new ReplicaMoves(clusterCapacity, reservation, plan, candidates::all);
+    boolean movesPlanned = !snapshot.migrationAllowed();
+    for (JobState job : inPlanningOrder(withUnplacedTasks)) {
+      if (!movesPlanned && job.record().spec().priority() == Priority.LOW) {
+        moves.run(active, clusterCapacity.replicasLeaving());
+        movesPlanned = true;
       }
-      place(job);
+      planJob(job);
     }
-    if (!moved) {
-      moves.run(active, rooms.replicasLeaving());
+    if (!movesPlanned) {
+      moves.run(active, clusterCapacity.replicasLeaving());
     }
     return plan;
   }
 
-  /** By priority, work within its team's guarantee first, and by turn within that. */
-  private List<JobState> byPriority(List<JobState> byArrival) {
+  /**
+   * Orders jobs by priority; within a priority, jobs covered by their team's guarantee come first,
+   * and jobs alike in both follow the queue order.
+   */
+  private List<JobState> inPlanningOrder(List<JobState> byArrival) {
     List<List<JobState>> classes = new ArrayList<>();
     for (int i = 0; i < 2 * Priority.values().length; i++) {
       classes.add(new ArrayList<>());
     }
     for (JobState job : byArrival) {
-      int at = 2 * job.record().spec().priority().ordinal();
-      classes.get(teams.guaranteed(job.id()) ? at : at + 1).add(job);
+      int priorityClass = 2 * job.record().spec().priority().ordinal();
+      classes.get(teamQuotas.guaranteed(job.id()) ? priorityClass : priorityClass + 1).add(job);
     }
     List<JobState> order = new ArrayList<>(byArrival.size());
-    classes.forEach(jobs -> order.addAll(turns.order(jobs)));
+    classes.forEach(jobs -> order.addAll(queueOrder.order(jobs)));
     return order;
   }
 
-  private void place(JobState job) {
+  private void planJob(JobState job) {
     JobRecord record = job.record();
     JobSpec spec = record.spec();
-    if (!job.waiting() || (spec.shape() == JobKind.GANG && !record.placements().isEmpty())) {
-      return; // A gang's next attempt starts only when all of the last is proven over.
+    if (!job.schedulable() || (spec.shape() == JobKind.GANG && !record.placements().isEmpty())) {
+      return; // A gang's next attempt starts only once its previous attempt has provably ended.
     }
-    int wanted = unplacedCount(record);
-    int allowed = teams.allowance(spec);
+    int wanted = placeableCount(record);
+    int allowed = teamQuotas.allowance(spec);
     if (wanted == 0 || allowed == 0 || (spec.shape() == JobKind.GANG && allowed < wanted)) {
-      return; // It waits for its team, not for a machine.
+      return; // Nothing is left to place, or the job waits for its team's quota, not for a machine.
     }
     if (job.suspected() && spec.shape() != JobKind.GANG) {
       allowed = record.placements().isEmpty() ? 1 : 0;
     }
-    int most = Math.min(allowed, wanted);
-    if (most == 0) {
-      return; // A job that seems to be at fault is tried with one task at a time.
+    int maxTasks = Math.min(allowed, wanted);
+    if (maxTasks == 0) {
+      return; // A suspected job is tried with one task at a time.
     }
     boolean production = spec.priority() == Priority.PRODUCTION;
-    boolean enough =
-        production ? plannedOfProduction >= bounds.jobs : plannedOthers * 2 >= bounds.jobs;
-    if (enough) {
-      onlyTellLack(job, most);
+    boolean limitReached =
+        production
+            ? productionWrites >= bounds.maxJobWrites
+            : otherWrites * 2 >= bounds.maxJobWrites;
+    if (limitReached) {
+      reserveAndReport(job, maxTasks);
       return;
     }
-    int writesBefore = writes();
-    planFor(job, most);
-    int writes = writes() - writesBefore;
-    plannedOfProduction += production ? writes : 0;
-    plannedOthers += production ? 0 : writes;
+    int writesBefore = writeCount();
+    placeOrReclaim(job, maxTasks);
+    int writes = writeCount() - writesBefore;
+    productionWrites += production ? writes : 0;
+    otherWrites += production ? 0 : writes;
   }
 
-  /** Records that the plan changes, each a write. */
-  private int writes() {
-    return plan.placements().size() + plan.stops().size();
+  /** How many job record changes the plan contains so far; each needs a write. */
+  private int writeCount() {
+    return plan.placements().size() + plan.evictions().size();
   }
 
-  private void planFor(JobState job, int most) {
+  private void placeOrReclaim(JobState job, int maxTasks) {
     JobSpec spec = job.record().spec();
-    int tried = turns.passedOver(job) ? 1 : most;
+    int attempted = queueOrder.starved(job) ? 1 : maxTasks;
     Map<String, BitSet> chosen = Map.of();
-    if (placer.findsRoom(job)) {
-      chosen = placer.place(job, unplaced(job.record()).stream().limit(tried).toArray());
+    if (placer.mayFitAnywhere(job)) {
+      chosen = placer.place(job, placeableTasks(job.record()).stream().limit(attempted).toArray());
     }
-    List<Assignment> round = round(chosen);
-    int placed = round.stream().mapToInt(part -> part.tasks().size()).sum();
-    teams.add(spec, placed);
+    List<Assignment> assignments = assignments(chosen);
+    int placed = assignments.stream().mapToInt(assignment -> assignment.tasks().size()).sum();
+    teamQuotas.add(spec, placed);
     if (placed > 0) {
-      plan.placements().put(job.id(), round);
+      plan.placements().put(job.id(), assignments);
     }
-    // What a round could not name follows with the next one; no room is lacking for it.
-    boolean cut = spec.shape() != JobKind.GANG && chosen.size() >= placer.machinesAtOnce(job);
-    if (!job.suspected() && !cut && placed < most && placer.canBeNamed(job)) {
-      lacks(job, tried - placed, most - tried, round);
+    // Tasks left over because the round reached its machine limit are placed by the next round;
+    // they lack no capacity.
+    boolean machineLimitReached =
+        spec.shape() != JobKind.GANG && chosen.size() >= placer.maxMachinesPerRound(job);
+    if (!job.suspected()
+        && !machineLimitReached
+        && placed < maxTasks
+        && placer.fitsOneTransaction(job)) {
+      reclaimOrReport(job, attempted - placed, maxTasks - attempted, assignments);
     }
   }
 
-  /** How many tasks {@link #unplaced} names; a task is either done, or in one placement, or unplaced. */
-  private int unplacedCount(JobRecord record) {
+  /**
+   * The number of tasks in {@link #placeableTasks}. Computed by subtraction where possible, since a
+   * task is either done, or in exactly one placement, or unplaced.
+   */
+  private int placeableCount(JobRecord record) {
     boolean windowed =
-        record.spec().shape() == JobKind.ARRAY && record.spec().tasks() > bounds.record.window();
+        record.spec().shape() == JobKind.ARRAY
+            && record.spec().tasks() > bounds.recordLimit.window();
     return windowed
-        ? unplaced(record).cardinality()
+        ? placeableTasks(record).cardinality()
         : record.spec().tasks() - record.placedCount() - record.done().size();
   }
 
-  private BitSet unplaced(JobRecord record) {
+  /** The job's unplaced tasks; for an array only those within the record's window. */
+  private BitSet placeableTasks(JobRecord record) {
     BitSet unplaced = record.unplaced().toBits();
     if (record.spec().shape() == JobKind.ARRAY) {
-      int end = record.done().firstMissing() + bounds.record.window();
+      int end = record.done().firstMissing() + bounds.recordLimit.window();
       unplaced.clear(end, Math.max(end, unplaced.length()));
     }
     return unplaced;
   }
 
-  private List<Assignment> round(Map<String, BitSet> chosen) {
-    List<Assignment> round = new ArrayList<>();
+  private List<Assignment> assignments(Map<String, BitSet> chosen) {
+    List<Assignment> assignments = new ArrayList<>();
     chosen.forEach(
         (machine, tasks) ->
-            round.add(
+            assignments.add(
                 new Assignment(
-                    machine, rooms.get(machine).machine.session(), TaskSet.of(tasks))));
-    return round;
+                    machine, clusterCapacity.get(machine).machine.session(), TaskSet.of(tasks))));
+    return assignments;
   }
 
   /**
-   * Tasks found no room.
+   * Reclaims capacity for tasks that found none, and reports those for which that is not enough.
    *
-   * @param tried so many were looked for, and room may be made for them
-   * @param notTried so many more have their turn with the next pass
+   * @param attempted how many tasks this pass tried to place and couldn't; capacity may be
+   *     reclaimed for them
+   * @param notAttempted how many more are left to the next pass
+   * @param assignments what this pass has placed of the job
    */
-  private void lacks(JobState job, int tried, int notTried, List<Assignment> round) {
+  private void reclaimOrReport(
+      JobState job, int attempted, int notAttempted, List<Assignment> assignments) {
     JobSpec spec = job.record().spec();
-    Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
-    if (ZoneConstraints.matter(spec)) {
-      zones = ZoneConstraints.of(job.record(), rooms);
-      for (Assignment part : round) {
-        zones.addTo(rooms.get(part.machine()).machine.zone(), part.tasks().size());
+    Object2IntOpenHashMap<String> tasksByZone = new Object2IntOpenHashMap<>();
+    if (ZoneConstraints.matterFor(spec)) {
+      tasksByZone = ZoneConstraints.tasksByZone(job.record(), clusterCapacity);
+      for (Assignment assignment : assignments) {
+        tasksByZone.addTo(
+            clusterCapacity.get(assignment.machine()).machine.zone(), assignment.tasks().size());
       }
     }
-    int left = 0;
-    if (tried > 0) {
-      left = roomMaker.makeRoom(job, tried, zones, roomMaker.mayPreempt(job));
+    int remaining = 0;
+    if (attempted > 0) {
+      remaining = reclaimer.makeRoom(job, attempted, tasksByZone, reclaimer.mayPreempt(job));
     }
-    unmet(job, left + notTried, zones);
+    addUnmet(job, remaining + notAttempted, tasksByZone);
   }
 
-  /** Takes room for a job that is not planned for, so that those behind it are not told that it is free. */
-  private void onlyTellLack(JobState job, int tasks) {
-    if (job.suspected() || !placer.canBeNamed(job)) {
+  /**
+   * Takes capacity for a job beyond the write limit without placing it, and reports what is
+   * lacking. Without taking it, the shortages of the jobs behind it would be computed as if it were
+   * free.
+   */
+  private void reserveAndReport(JobState job, int tasks) {
+    if (job.suspected() || !placer.fitsOneTransaction(job)) {
       return;
     }
-    Object2IntOpenHashMap<String> zones = ZoneConstraints.of(job.record(), rooms);
-    int left = placer.reserve(job, tasks, zones);
-    if (left > 0) {
-      left = roomMaker.makeRoom(job, left, zones, false);
+    Object2IntOpenHashMap<String> tasksByZone =
+        ZoneConstraints.tasksByZone(job.record(), clusterCapacity);
+    int remaining = placer.takeCapacity(job, tasks, tasksByZone);
+    if (remaining > 0) {
+      remaining = reclaimer.makeRoom(job, remaining, tasksByZone, false);
     }
-    unmet(job, left, zones);
+    addUnmet(job, remaining, tasksByZone);
   }
 
-  private void unmet(JobState job, int tasks, Object2IntOpenHashMap<String> zones) {
+  private void addUnmet(JobState job, int tasks, Object2IntOpenHashMap<String> tasksByZone) {
     if (tasks > 0) {
       JobSpec spec = job.record().spec();
-      Map<String, Integer> others = ZoneConstraints.matter(spec) ? Map.copyOf(zones) : Map.of();
-      plan.unmet().add(new UnmetDemand(job.id(), spec, tasks, teams.guaranteed(job.id()), others));
+      Map<String, Integer> relevantZones =
+          ZoneConstraints.matterFor(spec) ? Map.copyOf(tasksByZone) : Map.of();
+      plan.unmet()
+          .add(
+              new UnmetDemand(
+                  job.id(), spec, tasks, teamQuotas.guaranteed(job.id()), relevantZones));
     }
   }
 }
--- a/src/main/java/io/tansystack/schedule/Preemption.java
+++ b/src/main/java/io/tansystack/schedule/Preemption.java
@@ -65,7 +65,7 @@
     lookedAtAll = i == rooms.size();
     while (left > 0 && !offers.isEmpty()) {
       Offer best = offers.poll();
-      if (!ZoneConstraints.allow(spec, zones, best.room)) {
+      if (!ZoneConstraints.allows(spec, zones, best.room)) {
         continue; // And it stays so: copies in a zone only grow in number during a pass.
       }
       for (Victim victim : best.victims) {
@@ -110,7 +110,7 @@
       }
       JobSpec s = held.spec();
       int n = 0;
-      while (n < held.tasks() && MachineCapacity.count(spec, cpus, gpus, mem) == 0) {
+      while (n < held.taskCount() && MachineCapacity.count(spec, cpus, gpus, mem) == 0) {
         cpus += s.cpus();
         gpus += s.gpus();
         mem += s.memGb();
@@ -133,7 +133,7 @@
     if (spec.gpus() <= 0 && other.gpus() > 0) {
       return false; // What needs no accelerator does not take one away.
     }
-    return other.priority().ordinal() > spec.priority().ordinal() || teams.owed(job, victim);
+    return other.priority().ordinal() > spec.priority().ordinal() || teams.mayReclaimFrom(job, victim);
   }
 
   private void stop(MachineCapacity room, Victim victim, JobState forJob) {
@@ -146,7 +146,7 @@
       rest.clear(t);
       n++;
     }
-    plan.stops()
+    plan.evictions()
         .computeIfAbsent(victim.held.job(), k -> new ArrayList<>())
         .add(new Eviction(room.machine.name(), TaskSet.of(tasks), forJob.id()));
     room.release(victim.held);
--- a/src/main/java/io/tansystack/schedule/RecordedTeamUsage.java
+++ b/src/main/java/io/tansystack/schedule/RecordedTeamUsage.java
@@ -6,19 +6,20 @@
 import java.util.Map;
 
 /**
- * What the teams' recorded tasks use. Amounts are kept in whole millionths, so that adding and taking
- * away leaves no remainder and the order does not matter.
+ * The resources that the teams' recorded tasks use. Amounts are stored as whole millionths, so that
+ * adding and subtracting them leaves no remainder and the order of changes does not matter.
  */
 final class RecordedTeamUsage {
   private static final double MILLION = 1e6;
 
-  private static final class Sum {
+  /** A team's usage in millionths, and the number of its recorded jobs. */
+  private static final class Usage {
     long cpus;
     long gpus;
     int jobs;
   }
 
-  private final Map<String, Sum> sums = new HashMap<>();
+  private final Map<String, Usage> usageByTeam = new HashMap<>();
 
   void add(JobRecord record) {
     change(record, 1);
@@ -30,27 +31,29 @@
 
   private void change(JobRecord record, int sign) {
     JobSpec spec = record.spec();
-    Sum sum = sums.computeIfAbsent(spec.team(), k -> new Sum());
+    Usage usage = usageByTeam.computeIfAbsent(spec.team(), k -> new Usage());
     int tasks = sign * record.placedCount();
-    sum.cpus += tasks * Math.round(spec.cpus() * MILLION);
-    sum.gpus += tasks * Math.round(spec.gpus() * MILLION);
-    sum.jobs += sign;
-    if (sum.jobs == 0) {
-      sums.remove(spec.team());
+    usage.cpus += tasks * Math.round(spec.cpus() * MILLION);
+    usage.gpus += tasks * Math.round(spec.gpus() * MILLION);
+    usage.jobs += sign;
+    if (usage.jobs == 0) {
+      usageByTeam.remove(spec.team());
     }
   }
 
+  /** CPUs that the team's tasks use; 0 for an unknown team. */
   double cpus(String team) {
-    Sum sum = sums.get(team);
-    return sum == null ? 0 : sum.cpus / MILLION;
+    Usage usage = usageByTeam.get(team);
+    return usage == null ? 0 : usage.cpus / MILLION;
   }
 
+  /** GPUs that the team's tasks use; 0 for an unknown team. */
   double gpus(String team) {
-    Sum sum = sums.get(team);
-    return sum == null ? 0 : sum.gpus / MILLION;
+    Usage usage = usageByTeam.get(team);
+    return usage == null ? 0 : usage.gpus / MILLION;
   }
 
   void clear() {
-    sums.clear();
+    usageByTeam.clear();
   }
 }
--- a/src/main/java/io/tansystack/schedule/RentPlanner.java
+++ b/src/main/java/io/tansystack/schedule/RentPlanner.java
@@ -91,7 +91,7 @@
 
   private void rentFor(UnmetDemand need) {
     JobSpec spec = need.spec();
-    if (rentFor(spec, need.tasks(), need.zones()) || spec.shape() != JobKind.GANG) {
+    if (rentFor(spec, need.tasks(), need.tasksByZone()) || spec.shape() != JobKind.GANG) {
       return;
     }
     // Nothing of it stands yet: where there is no more to be had beside what has room, it may gather elsewhere.
--- a/src/main/java/io/tansystack/schedule/ReplicaMoves.java
+++ b/src/main/java/io/tansystack/schedule/ReplicaMoves.java
@@ -106,9 +106,9 @@
   /** Only a service whose replicas are all in place may lend one to a move. */
   private boolean movable(JobState job) {
     JobRecord record = job.record();
-    return job.waiting()
+    return job.schedulable()
         && !plan.placements().containsKey(job.id())
-        && !plan.stops().containsKey(job.id())
+        && !plan.evictions().containsKey(job.id())
         && record.placedCount() == record.spec().tasks()
         && record.placements().stream().noneMatch(Placement::stop);
   }
@@ -120,7 +120,7 @@
     for (MachineCapacity room : rooms.all()) {
       MachineState m = room.machine;
       if (!room.holdsReplicas()
-          || !m.open()
+          || !m.acceptsTasks()
           || !need.allows(m.type().name(), m.zone(), m.spot())
           || clearing.contains(room)) {
         continue;
@@ -131,7 +131,7 @@
       int replicas = 0;
       for (AllocatedTasks held : room.held()) {
         JobSpec s = held.spec();
-        int n = held.tasks();
+        int n = held.taskCount();
         if (held.isService() && s.gpus() <= 0) {
           cpus += n * s.cpus();
           mem += n * s.memGb();
@@ -148,7 +148,7 @@
 
   private boolean move(JobState job, AllocatedTasks held, MachineCapacity from) {
     JobSpec spec = job.record().spec();
-    Object2IntOpenHashMap<String> zones = ZoneConstraints.of(job.record(), rooms);
+    Object2IntOpenHashMap<String> zones = ZoneConstraints.tasksByZone(job.record(), rooms);
     zones.addTo(from.machine.zone(), -1);
     for (MachineCapacity to : candidates.of(job)) {
       if (to != from
@@ -156,7 +156,7 @@
           && !keep.spoils(spec, to)
           && zones.getInt(to.machine.zone()) < spec.zoneCap()) {
         to.take(spec, 1);
-        plan.stops()
+        plan.evictions()
             .computeIfAbsent(job.id(), k -> new ArrayList<>())
             .add(
                 Eviction.move(
--- a/src/main/java/io/tansystack/schedule/ScoredCandidate.java
+++ b/src/main/java/io/tansystack/schedule/ScoredCandidate.java
@@ -3,42 +3,50 @@
 import java.util.Comparator;
 
 /**
- * A room with what decides between it and others for a job. The least is the best.
+ * A machine that can take a job's task, with the scores by which it is compared with others. The
+ * smallest in the natural order is the best. The scores are compared in the order of the
+ * components.
  *
- * @param tier whether it spoils accelerators that others may need
- * @param step stands for predictions that count as equal
- * @param rank among these: whole machines that the tasks fill, machines that are begun, other whole ones
- * @param price of the machine, where it counts
- * @param slack what is left free of what decides; fuller machines come first
- * @param delivery the predicted time to delivery, in seconds
+ * @param tier whether the task would strand accelerators that other jobs may need
+ * @param completionStep predicted completion time, in seconds or in coarser steps; equal steps
+ *     count as equal predictions
+ * @param fragmentation among equal predictions: whole machines that the tasks fill come first, then
+ *     machines already in use, then other whole machines
+ * @param price price of the machine; 0 where it doesn't count
+ * @param slack free CPUs or GPUs, whichever counts, that one task would leave; fuller machines come
+ *     first
+ * @param completionS predicted completion time, in seconds
  */
 record ScoredCandidate(
-    MachineCapacity room,
+    MachineCapacity machine,
     int tier,
-    double step,
-    int rank,
+    double completionStep,
+    int fragmentation,
     double price,
     double slack,
-    double delivery)
+    double completionS)
     implements Comparable<ScoredCandidate> {
 
   @Override
-  public int compareTo(ScoredCandidate o) {
-    int order = Integer.compare(tier, o.tier);
-    order = order != 0 ? order : Double.compare(step, o.step);
-    order = order != 0 ? order : Integer.compare(rank, o.rank);
-    order = order != 0 ? order : Double.compare(price, o.price);
-    order = order != 0 ? order : Double.compare(slack, o.slack);
-    order = order != 0 ? order : Double.compare(delivery, o.delivery);
-    return order != 0 ? order : room.machine.name().compareTo(o.room.machine.name());
+  public int compareTo(ScoredCandidate other) {
+    int order = Integer.compare(tier, other.tier);
+    order = order != 0 ? order : Double.compare(completionStep, other.completionStep);
+    order = order != 0 ? order : Integer.compare(fragmentation, other.fragmentation);
+    order = order != 0 ? order : Double.compare(price, other.price);
+    order = order != 0 ? order : Double.compare(slack, other.slack);
+    order = order != 0 ? order : Double.compare(completionS, other.completionS);
+    return order != 0 ? order : machine.machine.name().compareTo(other.machine.machine.name());
   }
 
-  /** By how many tasks fit, where predictions are equal: for what can name few machines only. */
-  static Comparator<ScoredCandidate> roomiestFirst(ResourceRequest ask) {
+  /**
+   * An order that prefers, among equal predictions, the machines that fit the most tasks; for jobs
+   * that can use only a few machines.
+   */
+  static Comparator<ScoredCandidate> mostTasksFirst(ResourceRequest request) {
     return Comparator.comparingInt(ScoredCandidate::tier)
-        .thenComparingDouble(ScoredCandidate::step)
-        .thenComparingInt(ScoredCandidate::rank)
-        .thenComparing(s -> -s.room.fits(ask))
+        .thenComparingDouble(ScoredCandidate::completionStep)
+        .thenComparingInt(ScoredCandidate::fragmentation)
+        .thenComparing(s -> -s.machine.fits(request))
         .thenComparing(Comparator.naturalOrder());
   }
 }
--- a/src/main/java/io/tansystack/schedule/Snapshot.java
+++ b/src/main/java/io/tansystack/schedule/Snapshot.java
@@ -8,19 +8,23 @@
 import java.util.Set;
 
 /**
- * All that a planning pass looks at.
+ * The input of a scheduling pass.
  *
- * @param booting machines that are rented and not yet of use
- * @param movable whether enough is known of the machines to move replicas about between them
+ * @param machines the known machines, except those that are still booting
+ * @param booting machines that are rented and still booting
+ * @param jobs all jobs, active or not
+ * @param teams quotas by team name
+ * @param migrationAllowed whether enough machines have been heard from to compare them all and move
+ *     replicas between them
  */
 public record Snapshot(
     List<MachineState> machines,
     List<MachineState> booting,
     List<JobState> jobs,
     Map<String, Team> teams,
-    boolean movable) {
+    boolean migrationAllowed) {
 
-  /** Of a cluster that is known. */
+  /** A snapshot in which enough machines have been heard from to move replicas. */
   public Snapshot(
       List<MachineState> machines,
       List<MachineState> booting,
@@ -29,22 +33,23 @@
     this(machines, booting, jobs, teams, true);
   }
 
-  /** A machine that is still booting. */
+  /** The state of a machine that is still booting: empty, with the type's fetch bandwidth. */
   public static MachineState booting(String name, MachineType type, String zone, boolean spot) {
     return new MachineState(
         name, type, zone, spot, 0, false, false, Set.of(), Set.of(), 0, type.fetchGbPerS(), 1);
   }
 
   /**
-   * A machine as the plan sees it.
+   * A machine as a scheduling pass sees it.
    *
-   * @param open whether new tasks may be sent to it now
-   * @param drain whether it is to be emptied: its replicas move elsewhere
-   * @param images images that it holds
-   * @param coming images that it is fetching
-   * @param queuedGb bytes that it still has to fetch
-   * @param fetchGbPerS predicted bandwidth
-   * @param slowness predicted run time over estimate
+   * @param session the worker's current session, 0 if unknown
+   * @param acceptsTasks whether new tasks may be sent to it now
+   * @param drain whether it is to be drained: its replicas are moved to other machines
+   * @param images images that it has cached
+   * @param fetchingImages images that it is fetching
+   * @param queuedGb size of the images that it still has to fetch, in GB
+   * @param fetchGbPerS predicted fetch bandwidth, in GB/s
+   * @param slowness predicted run time as a multiple of the estimate
    */
   public record MachineState(
       String name,
@@ -52,63 +57,83 @@
       String zone,
       boolean spot,
       long session,
-      boolean open,
+      boolean acceptsTasks,
       boolean drain,
       Set<String> images,
-      Set<String> coming,
+      Set<String> fetchingImages,
       double queuedGb,
       double fetchGbPerS,
       double slowness) {}
 
   /**
-   * A job as the plan sees it: its record with all proofs taken in.
+   * A job as a scheduling pass sees it: its record with all termination proofs applied.
    *
-   * @param waiting whether its unplaced tasks may be placed by this pass
-   * @param impatient whether it has waited long enough to have others stopped for it
-   * @param suspected whether the job itself seems to be at fault: one task at a time is tried where
-   *     there is room, and nothing is stopped, kept or rented for it
-   * @param late how many of its deadline's aims it can't meet any more
-   * @param avoid machines where it lately failed or was refused
-   * @param due whether it has waited for so long without a beginning that it must not wait much longer
-   * @param open whether it has tasks that are neither placed nor done
+   * @param schedulable whether its unplaced tasks may be placed by this pass
+   * @param preemptionDelayElapsed whether it has waited long enough to preempt others; false while
+   *     too few of the machines that it may use have been heard from
+   * @param suspected whether its failures seem to be caused by the job itself: one task at a time
+   *     is tried where there is free capacity, and nothing is stopped, reserved or rented for it
+   * @param missedObjectives how many of its deadline objectives it can't meet any more
+   * @param excludedMachines names of machines on which it failed or was refused recently
+   * @param startOverdue whether it has waited so long without any task placed that it must be
+   *     started soon
+   * @param hasUnplacedTasks whether it has tasks that are neither placed nor done
    */
   public record JobState(
       String id,
       JobRecord record,
-      boolean waiting,
-      boolean impatient,
+      boolean schedulable,
+      boolean preemptionDelayElapsed,
       boolean suspected,
-      int late,
-      Set<String> avoid,
-      boolean due,
-      boolean open) {
+      int missedObjectives,
+      Set<String> excludedMachines,
+      boolean startOverdue,
+      boolean hasUnplacedTasks) {
 
+    /** Computes {@link #hasUnplacedTasks} from the record. */
     public JobState(
         String id,
         JobRecord record,
-        boolean waiting,
-        boolean impatient,
+        boolean schedulable,
+        boolean preemptionDelayElapsed,
         boolean suspected,
-        int late,
-        Set<String> avoid,
-        boolean due) {
-      this(id, record, waiting, impatient, suspected, late, avoid, due, isOpen(record));
+        int missedObjectives,
+        Set<String> excludedMachines,
+        boolean startOverdue) {
+      this(
+          id,
+          record,
+          schedulable,
+          preemptionDelayElapsed,
+          suspected,
+          missedObjectives,
+          excludedMachines,
+          startOverdue,
+          hasUnplacedTasks(record));
     }
 
-    /** One that has not waited for long. */
+    /** A job whose start is not overdue. */
     public JobState(
         String id,
         JobRecord record,
-        boolean waiting,
-        boolean impatient,
+        boolean schedulable,
+        boolean preemptionDelayElapsed,
         boolean suspected,
-        int late,
-        Set<String> avoid) {
-      this(id, record, waiting, impatient, suspected, late, avoid, false);
+        int missedObjectives,
+        Set<String> excludedMachines) {
+      this(
+          id,
+          record,
+          schedulable,
+          preemptionDelayElapsed,
+          suspected,
+          missedObjectives,
+          excludedMachines,
+          false);
     }
 
-    /** Whether a record has tasks that are neither placed nor done. */
-    public static boolean isOpen(JobRecord record) {
+    /** Whether the job of a record is active and has tasks that are neither placed nor done. */
+    public static boolean hasUnplacedTasks(JobRecord record) {
       return record.active()
           && record.placedCount() + record.done().size() < record.spec().tasks();
     }
--- a/src/main/java/io/tansystack/schedule/TaskPlacer.java
+++ b/src/main/java/io/tansystack/schedule/TaskPlacer.java
@@ -12,91 +12,93 @@
 import java.util.List;
 import java.util.Map;
 
-/** Chooses machines for a job's tasks, the least predicted delivery first, and takes their room. */
+/** Chooses machines for a job's tasks by predicted completion time and takes their capacity. */
 final class TaskPlacer {
-  private final ClusterCapacity rooms;
+  private final ClusterCapacity clusterCapacity;
   private final CapacityIndex index;
-  private final AcceleratorReservation keep;
+  private final AcceleratorReservation reservation;
   private final CandidateSelector candidates;
   private final RecordSizeLimit limit;
   private final int maxMachines;
 
-  /** @param maxMachines so many machines can be named by the transaction that records a round */
+  /** @param maxMachines how many machines the transaction that records a round can include */
   TaskPlacer(
-      ClusterCapacity rooms,
+      ClusterCapacity clusterCapacity,
       CapacityIndex index,
-      AcceleratorReservation keep,
+      AcceleratorReservation reservation,
       CandidateSelector candidates,
       RecordSizeLimit limit,
       int maxMachines) {
-    this.rooms = rooms;
+    this.clusterCapacity = clusterCapacity;
     this.index = index;
-    this.keep = keep;
+    this.reservation = reservation;
     this.candidates = candidates;
     this.limit = limit;
     this.maxMachines = maxMachines;
   }
 
-  private int placementsLeft(JobState job) {
-    int held = job.record().placements().size();
-    return Math.max(0, limit.placedAtOnce(job.record().spec()) - held);
+  /** How many more placements the job's record can hold. */
+  private int remainingPlacements(JobState job) {
+    int existing = job.record().placements().size();
+    return Math.max(0, limit.placedAtOnce(job.record().spec()) - existing);
   }
 
-  /** A round of the job can name so many machines. */
-  int machinesAtOnce(JobState job) {
-    return Math.min(maxMachines, placementsLeft(job));
+  /** How many machines a placement round of the job can use. */
+  int maxMachinesPerRound(JobState job) {
+    return Math.min(maxMachines, remainingPlacements(job));
   }
 
   /**
-   * Whether one transaction could name the machines for a whole gang if all were empty. Room that was kept
-   * for one that is too large would be kept for ever.
+   * Whether a gang could be placed by one transaction if all machines were empty; true for other
+   * jobs. Capacity reserved for a gang that is too large for that would stay reserved permanently.
    */
-  boolean canBeNamed(JobState job) {
+  boolean fitsOneTransaction(JobState job) {
     JobSpec spec = job.record().spec();
     if (spec.shape() != JobKind.GANG) {
       return true;
     }
-    int each = rooms.mostOnOne(spec);
-    return each == 0
-        || (long) each * Math.min(maxMachines, limit.placedAtOnce(spec)) >= spec.tasks();
+    int tasksPerMachine = clusterCapacity.mostOnOne(spec);
+    return tasksPerMachine == 0
+        || (long) tasksPerMachine * Math.min(maxMachines, limit.placedAtOnce(spec)) >= spec.tasks();
   }
 
-  /** Whether any machine could take one of the job's tasks. */
-  boolean findsRoom(JobState job) {
+  /** Whether any machine fits one of the job's tasks, also if it is excluded or reserved. */
+  boolean mayFitAnywhere(JobState job) {
     return !index.mayFit(ResourceRequest.of(job.record().spec())).isEmpty();
   }
 
-  /** Tasks by the machines chosen for them. */
+  /** Places as many of the tasks as possible; returns the tasks by the names of their machines. */
   Map<String, BitSet> place(JobState job, int[] tasks) {
     JobSpec spec = job.record().spec();
     if (spec.shape() == JobKind.GANG) {
       return placeGang(job, tasks);
     }
-    return ZoneConstraints.matter(spec) ? placeByZone(job, tasks) : placeEach(job, tasks);
+    return ZoneConstraints.matterFor(spec) ? placeByZone(job, tasks) : placeAnywhere(job, tasks);
   }
 
   private static void assign(
-      Map<String, BitSet> chosen, MachineCapacity room, JobSpec spec, int task) {
-    room.place(spec);
-    chosen.computeIfAbsent(room.machine.name(), k -> new BitSet()).set(task);
+      Map<String, BitSet> chosen, MachineCapacity machine, JobSpec spec, int task) {
+    machine.place(spec);
+    chosen.computeIfAbsent(machine.machine.name(), k -> new BitSet()).set(task);
   }
 
-  private Map<String, BitSet> placeEach(JobState job, int[] tasks) {
+  private Map<String, BitSet> placeAnywhere(JobState job, int[] tasks) {
     JobSpec spec = job.record().spec();
     Map<String, BitSet> chosen = new LinkedHashMap<>();
-    int most = machinesAtOnce(job);
-    List<MachineCapacity> found = candidates.best(job, tasks.length, placementsLeft(job), most);
+    int machineLimit = maxMachinesPerRound(job);
+    List<MachineCapacity> found =
+        candidates.best(job, tasks.length, remainingPlacements(job), machineLimit);
     int i = 0;
-    for (MachineCapacity room : found) {
-      while (i < tasks.length && room.fitsOne(spec)) {
-        if (keep.waitsForComing(spec, room)) {
+    for (MachineCapacity machine : found) {
+      while (i < tasks.length && machine.fitsOne(spec)) {
+        if (reservation.waitsForComing(spec, machine)) {
           i++;
           continue;
         }
-        if (chosen.size() >= most && !chosen.containsKey(room.machine.name())) {
+        if (chosen.size() >= machineLimit && !chosen.containsKey(machine.machine.name())) {
           return chosen;
         }
-        assign(chosen, room, spec, tasks[i++]);
+        assign(chosen, machine, spec, tasks[i++]);
       }
     }
     return chosen;
@@ -105,68 +107,91 @@
   private Map<String, BitSet> placeByZone(JobState job, int[] tasks) {
     JobSpec spec = job.record().spec();
     Map<String, BitSet> chosen = new LinkedHashMap<>();
-    int most = machinesAtOnce(job);
+    int machineLimit = maxMachinesPerRound(job);
     Map<String, List<MachineCapacity>> byZone = candidates.bestByZone(job, tasks.length);
     if (byZone.isEmpty()) {
       return chosen;
     }
-    Object2IntOpenHashMap<String> zones = ZoneConstraints.of(job.record(), rooms);
-    Object2IntOpenHashMap<String> next = new Object2IntOpenHashMap<>();
+    Object2IntOpenHashMap<String> tasksByZone =
+        ZoneConstraints.tasksByZone(job.record(), clusterCapacity);
+    Object2IntOpenHashMap<String> nextByZone = new Object2IntOpenHashMap<>();
     for (int task : tasks) {
-      MachineCapacity best = bestZone(spec, byZone, zones, next);
-      if (best != null && keep.waitsForComing(spec, best)) {
+      MachineCapacity best = bestZone(spec, byZone, tasksByZone, nextByZone);
+      if (best != null && reservation.waitsForComing(spec, best)) {
         continue;
       }
-      if (best == null || chosen.size() >= most) {
+      if (best == null || chosen.size() >= machineLimit) {
         break;
       }
       assign(chosen, best, spec, task);
-      zones.addTo(best.machine.zone(), 1);
+      tasksByZone.addTo(best.machine.zone(), 1);
     }
     return chosen;
   }
 
-  /** Zones come best first; one with fewer copies goes before a better prediction. */
+  /**
+   * The best machine that fits a task, in the zone with the fewest of the job's tasks: that counts
+   * more than a better prediction. Among equal zones the first is taken; they are ordered best
+   * first. Null if there is none.
+   */
   private static MachineCapacity bestZone(
       JobSpec spec,
       Map<String, List<MachineCapacity>> byZone,
-      Object2IntOpenHashMap<String> zones,
-      Object2IntOpenHashMap<String> next) {
+      Object2IntOpenHashMap<String> tasksByZone,
+      Object2IntOpenHashMap<String> nextByZone) {
     MachineCapacity best = null;
     for (Map.Entry<String, List<MachineCapacity>> zone : byZone.entrySet()) {
-      MachineCapacity first = firstFitting(spec, zone.getValue(), next, zone.getKey());
+      MachineCapacity first = firstFitting(spec, zone.getValue(), nextByZone, zone.getKey());
       if (first != null
-          && ZoneConstraints.allow(spec, zones, first)
-          && (best == null || zones.getInt(zone.getKey()) < zones.getInt(best.machine.zone()))) {
+          && ZoneConstraints.allows(spec, tasksByZone, first)
+          && (best == null
+              || tasksByZone.getInt(zone.getKey())
+                  < tasksByZone.getInt(best.machine.zone()))) {
         best = first;
       }
     }
     return best;
   }
 
-  /** What doesn't fit any more is passed over for good: rooms only fill up. */
+  /**
+   * The zone's first machine that fits a task, or null. Machines that don't fit any more are not
+   * looked at again, since free capacity only shrinks during a pass.
+   *
+   * @param nextByZone where the search continues, by zone
+   */
   private static MachineCapacity firstFitting(
-      JobSpec spec, List<MachineCapacity> rooms, Object2IntOpenHashMap<String> next, String zone) {
-    int i = next.getInt(zone);
-    while (i < rooms.size() && !rooms.get(i).fitsOne(spec)) {
+      JobSpec spec,
+      List<MachineCapacity> machines,
+      Object2IntOpenHashMap<String> nextByZone,
+      String zone) {
+    int i = nextByZone.getInt(zone);
+    while (i < machines.size() && !machines.get(i).fitsOne(spec)) {
       i++;
     }
-    next.put(zone, i);
-    return i < rooms.size() ? rooms.get(i) : null;
+    nextByZone.put(zone, i);
+    return i < machines.size() ? machines.get(i) : null;
   }
 
-  /** All tasks or none; in one zone if the job asks for it, at most its share in each if it scatters. */
+  /**
+   * Places all tasks of a gang or none: in one zone if the job requires it, and with at most the
+   * allowed share in each zone if the job is to be scattered.
+   */
   private Map<String, BitSet> placeGang(JobState job, int[] tasks) {
     JobSpec spec = job.record().spec();
     if (tasks.length < spec.tasks()) {
       return Map.of();
     }
-    int most = Math.min(maxMachines, limit.placedAtOnce(spec));
+    int machineLimit = Math.min(maxMachines, limit.placedAtOnce(spec));
     List<MachineCapacity> picks =
-        choose(spec, tasks.length, candidates.forGang(job, tasks.length), most);
-    if (picks.isEmpty() && tasks.length > most) {
-      // On fewer machines one transaction may be able to name them all.
-      picks = choose(spec, tasks.length, candidates.roomiestForGang(job, most), most);
+        pickFromBestGroup(spec, tasks.length, candidates.forGang(job, tasks.length), machineLimit);
+    if (picks.isEmpty() && tasks.length > machineLimit) {
+      // With the machines that fit the most tasks, one transaction may be able to include them all.
+      picks =
+          pickFromBestGroup(
+              spec,
+              tasks.length,
+              candidates.largestFirstForGang(job, machineLimit),
+              machineLimit);
     }
     Map<String, BitSet> chosen = new LinkedHashMap<>();
     for (int i = 0; i < picks.size(); i++) {
@@ -175,69 +200,75 @@
     return chosen;
   }
 
-  /** A room for each task, from the group with the least delivery; empty if none can take all. */
-  private static List<MachineCapacity> choose(
-      JobSpec spec, int tasks, List<List<MachineCapacity>> groups, int mostMachines) {
+  /**
+   * A machine for each task, from the group in which the slowest task completes first; empty if no
+   * group can take all tasks within the machine limit.
+   */
+  private static List<MachineCapacity> pickFromBestGroup(
+      JobSpec spec, int tasks, List<List<MachineCapacity>> groups, int machineLimit) {
     List<MachineCapacity> best = List.of();
-    double bestDelivery = Double.MAX_VALUE;
+    double bestSlowestS = Double.MAX_VALUE;
     for (List<MachineCapacity> group : groups) {
-      List<MachineCapacity> picks = picks(spec, tasks, group);
-      double slowest = picks.stream().mapToDouble(room -> room.delivery(spec)).max().orElse(0);
-      boolean named = new HashSet<>(picks).size() <= mostMachines;
-      if (picks.size() == tasks && named && slowest < bestDelivery) {
+      List<MachineCapacity> picks = pickMachines(spec, tasks, group);
+      double slowestS =
+          picks.stream().mapToDouble(machine -> machine.delivery(spec)).max().orElse(0);
+      boolean withinLimit = new HashSet<>(picks).size() <= machineLimit;
+      if (picks.size() == tasks && withinLimit && slowestS < bestSlowestS) {
         best = picks;
-        bestDelivery = slowest;
+        bestSlowestS = slowestS;
       }
     }
     return best;
   }
 
-  private static List<MachineCapacity> picks(JobSpec spec, int tasks, List<MachineCapacity> rooms) {
+  /** A machine for each task, in the given order; fewer if not all fit within the zones' limits. */
+  private static List<MachineCapacity> pickMachines(
+      JobSpec spec, int tasks, List<MachineCapacity> machines) {
     List<MachineCapacity> picks = new ArrayList<>();
-    Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
-    for (MachineCapacity room : rooms) {
-      String zone = room.machine.zone();
-      int fits = room.fits(spec);
+    Object2IntOpenHashMap<String> tasksByZone = new Object2IntOpenHashMap<>();
+    for (MachineCapacity machine : machines) {
+      String zone = machine.machine.zone();
+      int fits = machine.fits(spec);
       for (int k = 0; k < fits && picks.size() < tasks; k++) {
-        if (zones.getInt(zone) >= spec.zoneCap()) {
+        if (tasksByZone.getInt(zone) >= spec.zoneCap()) {
           break;
         }
-        picks.add(room);
-        zones.addTo(zone, 1);
+        picks.add(machine);
+        tasksByZone.addTo(zone, 1);
       }
     }
     return picks;
   }
 
   /**
-   * Takes any room for so many tasks, to tell what is lacking; nothing is placed by it. Returns how
-   * many tasks find none.
+   * Takes the capacity of any machines for a number of tasks without placing them, to find out how
+   * much is lacking. Returns how many tasks find none.
    *
-   * @param zones copies of the job by zone; those that find room are added
+   * @param tasksByZone the job's tasks by zone; those that find capacity are added
    */
-  int reserve(JobState job, int tasks, Object2IntOpenHashMap<String> zones) {
+  int takeCapacity(JobState job, int tasks, Object2IntOpenHashMap<String> tasksByZone) {
     JobSpec spec = job.record().spec();
-    int left = tasks;
-    boolean byZone = ZoneConstraints.matter(spec);
-    for (MachineCapacity room : index.mayFit(ResourceRequest.of(spec))) {
-      if (left == 0) {
+    int remaining = tasks;
+    boolean zonesMatter = ZoneConstraints.matterFor(spec);
+    for (MachineCapacity machine : index.mayFit(ResourceRequest.of(spec))) {
+      if (remaining == 0) {
         break;
       }
-      if (!room.fitsOne(spec)
-          || job.avoid().contains(room.machine.name())
-          || (keep.spoils(spec, room) && keep.keptForOthers(room))) {
+      if (!machine.fitsOne(spec)
+          || job.excludedMachines().contains(machine.machine.name())
+          || (reservation.spoils(spec, machine) && reservation.keptForOthers(machine))) {
         continue;
       }
-      int fits = Math.min(left, room.fits(spec));
-      if (byZone) {
-        fits = Math.min(fits, ZoneConstraints.most(spec, zones, room));
+      int fits = Math.min(remaining, machine.fits(spec));
+      if (zonesMatter) {
+        fits = Math.min(fits, ZoneConstraints.remaining(spec, tasksByZone, machine));
       }
       if (fits > 0) {
-        room.take(spec, fits);
-        zones.addTo(room.machine.zone(), fits);
-        left -= fits;
+        machine.take(spec, fits);
+        tasksByZone.addTo(machine.machine.zone(), fits);
+        remaining -= fits;
       }
     }
-    return left;
+    return remaining;
   }
 }
--- a/src/main/java/io/tansystack/schedule/ZoneConstraints.java
+++ b/src/main/java/io/tansystack/schedule/ZoneConstraints.java
@@ -6,40 +6,49 @@
 import io.tansystack.wire.JobSpec;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 
-/** In which zones a job's tasks are, and may be. */
+/** In which zones a job's tasks run and may run. */
 final class ZoneConstraints {
   private ZoneConstraints() {}
 
-  /** Whether it matters for the job's next tasks where its others are. */
-  static boolean matter(JobSpec spec) {
+  /**
+   * Whether the zones of the job's other tasks matter for where its next ones may or should run.
+   */
+  static boolean matterFor(JobSpec spec) {
     return spec.shape() == JobKind.SERVICE || spec.scatter() || spec.sameZone();
   }
 
-  /** Copies of the job by zone, counting all that may exist. */
-  static Object2IntOpenHashMap<String> of(JobRecord record, ClusterCapacity rooms) {
-    Object2IntOpenHashMap<String> zones = new Object2IntOpenHashMap<>();
+  /**
+   * Counts the job's tasks by zone, including all that may still exist; those on unknown machines
+   * are left out.
+   */
+  static Object2IntOpenHashMap<String> tasksByZone(
+      JobRecord record, ClusterCapacity clusterCapacity) {
+    Object2IntOpenHashMap<String> tasksByZone = new Object2IntOpenHashMap<>();
     for (Placement placement : record.placements()) {
-      MachineCapacity room = rooms.get(placement.machine());
-      if (room != null) {
-        zones.addTo(room.machine.zone(), placement.tasks().size());
+      MachineCapacity machine = clusterCapacity.get(placement.machine());
+      if (machine != null) {
+        tasksByZone.addTo(machine.machine.zone(), placement.tasks().size());
       }
     }
-    return zones;
+    return tasksByZone;
   }
 
-  /** Whether one more copy may stand in the room's zone. */
-  static boolean allow(JobSpec spec, Object2IntOpenHashMap<String> zones, MachineCapacity room) {
-    return most(spec, zones, room) > 0;
+  /** Whether one more task of the job may run in the machine's zone. */
+  static boolean allows(
+      JobSpec spec, Object2IntOpenHashMap<String> tasksByZone, MachineCapacity machine) {
+    return remaining(spec, tasksByZone, machine) > 0;
   }
 
-  /** How many more copies may stand in the room's zone. */
-  static int most(JobSpec spec, Object2IntOpenHashMap<String> zones, MachineCapacity room) {
-    return most(spec, zones, room.machine.zone());
+  /** How many more tasks of the job may run in the machine's zone. */
+  static int remaining(
+      JobSpec spec, Object2IntOpenHashMap<String> tasksByZone, MachineCapacity machine) {
+    return remaining(spec, tasksByZone, machine.machine.zone());
   }
 
-  /** How many more copies may stand in a zone. */
-  static int most(JobSpec spec, Object2IntOpenHashMap<String> zones, String zone) {
-    boolean elsewhere = spec.sameZone() && !zones.isEmpty() && !zones.containsKey(zone);
-    return elsewhere ? 0 : Math.max(0, spec.zoneCap() - zones.getInt(zone));
+  /** How many more tasks of the job may run in a zone. */
+  static int remaining(JobSpec spec, Object2IntOpenHashMap<String> tasksByZone, String zone) {
+    boolean boundToOtherZone =
+        spec.sameZone() && !tasksByZone.isEmpty() && !tasksByZone.containsKey(zone);
+    return boundToOtherZone ? 0 : Math.max(0, spec.zoneCap() - tasksByZone.getInt(zone));
   }
 }
--- a/src/test/java/io/tansystack/schedule/IncrementalCapacityTest.java
+++ b/src/test/java/io/tansystack/schedule/IncrementalCapacityTest.java
@@ -103,11 +103,11 @@
               JobSpec spec = job.record().spec();
               for (Assignment part : round) {
                 MachineState machine = machines.get(part.machine());
-                assertTrue(machine.open(), id + " on closed " + machine);
+                assertTrue(machine.acceptsTasks(), id + " on closed " + machine);
                 assertTrue(
                     spec.allows(machine.type().name(), machine.zone(), machine.spot()),
                     id + " may not stand on " + machine);
-                assertTrue(!job.avoid().contains(machine.name()), id + " avoids " + machine);
+                assertTrue(!job.excludedMachines().contains(machine.name()), id + " avoids " + machine);
                 double[] use = add(machineUse, machine.name(), spec, part.tasks().size());
                 MachineType type = machine.type();
                 boolean fits =
@@ -277,7 +277,7 @@
   }
 
   private void carryOut(Plan plan) {
-    plan.stops()
+    plan.evictions()
         .forEach(
             (id, stops) -> {
               JobRecord next = record(id);
--- a/src/test/java/io/tansystack/schedule/PlannerTest.java
+++ b/src/test/java/io/tansystack/schedule/PlannerTest.java
@@ -29,6 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests which machines a pass chooses, what it preempts and what it reports as unmet. */
 class PlannerTest {
   private static final MachineType SMALL =
       new MachineType("small", 4, 0, 16, 50, 0.5, 1, 0.3, 40, List.of("a", "b"));
@@ -55,10 +56,10 @@
   }
 
   private static JobSpec spec(
-      String id, JobKind shape, Priority priority, int tasks, double cpus, double gpus,
+      String id, JobKind kind, Priority priority, int tasks, double cpus, double gpus,
       boolean sameZone, boolean scatter) {
     return new JobSpec(
-        id, "c", "t", shape, priority, tasks, cpus, gpus, 1, "img", 2, null, null, sameZone,
+        id, "c", "t", kind, priority, tasks, cpus, gpus, 1, "img", 2, null, null, sameZone,
         scatter, false, 10, 0, 0, null);
   }
 
@@ -91,7 +92,9 @@
         .sum();
   }
 
-  /** Fetch (queue and image at 0.5 GB/s) plus 10 s scaled: the lesser sum wins. */
+  /**
+   * Fetch time (queue and image at 0.5 GB/s) plus 10 s times the slowness: the smaller sum wins.
+   */
   @ParameterizedTest
   @CsvSource({
     "true,0,1, false,0,1, x",
@@ -101,7 +104,7 @@
     "true,0,1.3, false,0,1, x",
     "true,0,1.5, false,0,1, y"
   })
-  void leastPredictedTimeToDelivery(
+  void choosesLeastPredictedCompletionTime(
       boolean xCached, double xQueue, double xSlow,
       boolean yCached, double yQueue, double ySlow, String best) {
     machine("x", SMALL, "a", xCached ? Set.of("img") : Set.of(), xQueue, xSlow);
@@ -111,57 +114,63 @@
   }
 
   /**
-   * A task of one accelerator, a begun machine of the given slowness beside a whole one: with gangs about
-   * that need a whole machine, what is nearly as good does.
+   * Places a task that needs one accelerator, with a partly used machine of the given slowness and
+   * a whole machine to choose from. While there are gangs that need whole machines, a partly used
+   * machine that is nearly as fast must be preferred.
    */
   @ParameterizedTest
-  @CsvSource({"1,true,begun", "1.05,true,begun", "1.05,false,whole", "1.3,true,whole"})
-  void wholeMachinesAreKeptForThoseWhoNeedThem(double slowness, boolean gangs, String best) {
-    machine("begun", ACCEL, "a", Set.of("img"), 0, slowness);
+  @CsvSource({"1,true,partly-used", "1.05,true,partly-used", "1.05,false,whole", "1.3,true,whole"})
+  void prefersPartlyUsedMachinesWhileGangsNeedWholeOnes(
+      double slowness, boolean gangs, String best) {
+    machine("partly-used", ACCEL, "a", Set.of("img"), 0, slowness);
     machine("other", ACCEL, "a", Set.of("img"), 0, 1);
     machine("whole", ACCEL, "a", Set.of("img"), 0, 1);
     job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 1, 1, 1, false, false), 0,
-        new Assignment("begun", 1, TaskSet.range(0, 1)));
+        new Assignment("partly-used", 1, TaskSet.range(0, 1)));
     job(spec("wk-2", JobKind.GANG, Priority.HIGH, 1, 8, gangs ? 4 : 1, false, false), 0,
         new Assignment("other", 1, TaskSet.range(0, 1)));
     job(spec("wk-3", JobKind.ARRAY, Priority.LOW, 1, 0.5, 1, false, false), 1);
     Plan plan = plan();
     assertEquals(1, placed(plan, "wk-3"));
-    assertEquals(best.equals("begun"), placed(plan, "wk-3", "begun") == 1);
+    assertEquals(best.equals("partly-used"), placed(plan, "wk-3", "partly-used") == 1);
   }
 
-  /** Four to a machine, beside gangs: what fills whole machines takes them, but for the last one. */
+  /**
+   * Four tasks fit on a whole machine. While there are gangs, tasks that fill whole machines take
+   * them, except for the last whole machine, and the others go to the partly used machine.
+   */
   @ParameterizedTest
   @CsvSource({"3,3,0", "4,0,4", "7,3,4", "11,3,8"})
-  void whatComesTogetherStandsTogether(int tasks, int onBegun, int onWhole) {
-    machine("begun", ACCEL, "a", Set.of("img"), 0, 1);
+  void tasksThatFillWholeMachinesArePlacedTogether(int tasks, int onPartlyUsed, int onWhole) {
+    machine("partly-used", ACCEL, "a", Set.of("img"), 0, 1);
     machine("gang", ACCEL, "a", Set.of("img"), 0, 1);
     for (int i = 0; i < 3; i++) {
       machine("whole" + i, ACCEL, "a", Set.of("img"), 0, 1);
     }
     job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 1, 1, 1, false, false), 0,
-        new Assignment("begun", 1, TaskSet.range(0, 1)));
+        new Assignment("partly-used", 1, TaskSet.range(0, 1)));
     job(spec("wk-2", JobKind.GANG, Priority.HIGH, 1, 8, 4, false, false), 0,
         new Assignment("gang", 1, TaskSet.range(0, 1)));
     job(spec("wk-3", JobKind.ARRAY, Priority.LOW, tasks, 1, 1, false, false), 1);
     Plan plan = plan();
-    assertEquals(onBegun, placed(plan, "wk-3", "begun"));
-    assertEquals(onWhole, placed(plan, "wk-3") - onBegun);
+    assertEquals(onPartlyUsed, placed(plan, "wk-3", "partly-used"));
+    assertEquals(onWhole, placed(plan, "wk-3") - onPartlyUsed);
   }
 
+  /** At most half of the replicas of a scattered service, rounded up, may run in one zone. */
   @ParameterizedTest
   @CsvSource({"1,1", "2,2", "3,3", "4,3", "5,4"})
-  void scatterKeepsHalfRoundedUpOutOfAZone(int tasks, int expected) {
+  void scatterLimitsReplicasPerZone(int tasks, int expected) {
     for (int i = 0; i < 6; i++) {
       machine("a" + i, SMALL, "a");
     }
     machine("b0", SMALL, "b");
     job(spec("wk-1", JobKind.SERVICE, Priority.PRODUCTION, tasks, 4, 0, false, true), 0);
-    assertEquals(expected, placed(plan(), "wk-1"), "zone b has room for one");
+    assertEquals(expected, placed(plan(), "wk-1"), "one task fits in zone b");
   }
 
   @Test
-  void gangsAreAllOrNothingAndInOneZoneIfAsked() {
+  void gangsArePlacedWhollyAndInOneZoneIfRequested() {
     machine("a0", SMALL, "a");
     machine("b0", SMALL, "b");
     machine("b1", SMALL, "b");
@@ -175,7 +184,7 @@
   }
 
   @Test
-  void theNextGangAttemptWaitsForTheLast() {
+  void nextGangAttemptWaitsUntilThePreviousOneHasEnded() {
     machine("a0", SMALL, "a");
     machine("a1", SMALL, "a");
     JobState gang = job(spec("wk-1", JobKind.GANG, Priority.NORMAL, 1, 4, 0, false, false), 0,
@@ -187,7 +196,7 @@
 
   @ParameterizedTest
   @CsvSource({"0,0,4", "2,0,2", "3,0,3", "4,2,2", "4,4,0"})
-  void teamLimitsCountAllThatMayExist(double cpusMax, int already, int expected) {
+  void teamLimitsCountTasksThatMayStillExist(double cpusMax, int already, int expected) {
     teams.put("t", new Team("t", 0, 0, cpusMax, 0));
     machine("a0", SMALL, "a");
     machine("a1", SMALL, "a");
@@ -199,46 +208,46 @@
     assertEquals(expected, placed(plan(), "wk-1"));
   }
 
-  /** Lower priority makes way; the same or a higher one does not. */
+  /** Tasks of a lower priority are preempted; those of the same or a higher priority are not. */
   @ParameterizedTest
   @CsvSource({
     "PRODUCTION,LOW,true", "HIGH,NORMAL,true", "NORMAL,LOW,true",
     "NORMAL,NORMAL,false", "LOW,LOW,false", "HIGH,PRODUCTION,false"
   })
-  void preemptionByPriorityAlone(Priority newcomer, Priority holder, boolean stops) {
+  void preemptsOnlyLowerPriorities(Priority newcomer, Priority running, boolean preempts) {
     machine("a0", SMALL, "a");
-    job(spec("wk-1", JobKind.ARRAY, holder, 4, 1, 0, false, false), 0,
+    job(spec("wk-1", JobKind.ARRAY, running, 4, 1, 0, false, false), 0,
         new Assignment("a0", 1, TaskSet.range(0, 4)));
     job(spec("wk-2", JobKind.ARRAY, newcomer, 1, 2, 0, false, false), 1);
     Plan plan = plan();
-    assertEquals(stops, plan.stops().containsKey("wk-1"));
-    if (stops) {
-      assertEquals(2, plan.stops().get("wk-1").get(0).tasks().size(), "no more than needed");
-      assertTrue(plan.unmet().isEmpty(), "the room is in sight");
+    assertEquals(preempts, plan.evictions().containsKey("wk-1"));
+    if (preempts) {
+      assertEquals(2, plan.evictions().get("wk-1").get(0).tasks().size(), "no more than needed");
+      assertTrue(plan.unmet().isEmpty(), "the evicted tasks free the capacity");
     } else {
       assertFalse(plan.unmet().isEmpty());
     }
   }
 
   @Test
-  void whoHasJustComeWaitsForOthersToEndByThemselves() {
+  void doesNotPreemptBeforeThePreemptionDelay() {
     machine("a0", SMALL, "a");
     job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 4, 1, 0, false, false), 0,
         new Assignment("a0", 1, TaskSet.range(0, 4)));
     JobSpec spec = spec("wk-2", JobKind.ARRAY, Priority.HIGH, 1, 1, 0, false, false);
     jobs.add(new JobState("wk-2", JobRecord.created(spec, 1), true, false, false, 0, Set.of()));
-    assertTrue(plan().stops().isEmpty());
+    assertTrue(plan().evictions().isEmpty());
   }
 
   /**
-   * Deadline 100 s, estimate 20 s, aims at once and one and a half times the deadline: how many are
-   * missed at an age, by a job that has not begun and by one that has.
+   * Deadline 100 s, estimate 20 s, objectives at 1 and 1.5 times the deadline: how many of them are
+   * missed at a given age by a job that has not started and by one that has.
    */
   @ParameterizedTest
   @CsvSource({
     "0,0,0", "69,0,0", "71,1,0", "81,1,1", "119,1,1", "121,2,1", "131,2,2", "499,2,2", "501,0,0"
   })
-  void whatCanNotBeInTimeLetsOthersGoFirst(int ageS, int unbegun, int begun) {
+  void countsObjectivesThatCannotBeMet(int ageS, int missedIfNotStarted, int missedIfStarted) {
     JobSpec spec =
         new JobSpec(
             "wk-1", "c", "t", JobKind.ARRAY, Priority.LOW, 4, 1, 0, 1, "img", 2, null, null, false,
@@ -250,13 +259,13 @@
                 new Objective("deadline", "c", Duration.ZERO, 0.5, 1),
                 new Objective("deadline", "other", Duration.ZERO, 0.5, 0.1)));
     JobRecord record = JobRecord.created(spec, 7000);
-    JobRecord partly = record.placed(List.of(new Assignment("m", 1, TaskSet.range(0, 1))));
-    assertEquals(unbegun, deadlines.missed(record, 7000 + ageS * 1000L));
-    assertEquals(begun, deadlines.missed(partly, 7000 + ageS * 1000L));
+    JobRecord started = record.placed(List.of(new Assignment("m", 1, TaskSet.range(0, 1))));
+    assertEquals(missedIfNotStarted, deadlines.missedObjectives(record, 7000 + ageS * 1000L));
+    assertEquals(missedIfStarted, deadlines.missedObjectives(started, 7000 + ageS * 1000L));
   }
 
   @Test
-  void lateJobsGoLast() {
+  void jobsThatMissObjectivesGoLast() {
     machine("m", SMALL, "a");
     JobSpec late = spec("wk-1", JobKind.ARRAY, Priority.LOW, 4, 1, 0, false, false);
     JobSpec inTime = spec("wk-2", JobKind.ARRAY, Priority.LOW, 4, 1, 0, false, false);
@@ -267,34 +276,41 @@
     assertEquals(0, placed(plan, "wk-1"));
   }
 
-  /** A huge array lets small ones go first, for a while; then it gets its turn. */
+  /** A huge array lets later small jobs go first, but not those submitted much later. */
   @ParameterizedTest
   @CsvSource({"0, wk-2", "30, wk-2", "20000, wk-1"})
-  void aHugeArrayDoesNotKeepSmallOnesWaiting(long laterS, String first) {
+  void hugeArrayLetsSmallJobsGoFirst(long delayS, String first) {
     machine("a0", SMALL, "a");
     job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 1000, 1, 0, false, false), 0);
-    job(spec("wk-2", JobKind.ARRAY, Priority.LOW, 4, 1, 0, false, false), laterS * 1000);
+    job(spec("wk-2", JobKind.ARRAY, Priority.LOW, 4, 1, 0, false, false), delayS * 1000);
     assertEquals(4, placed(plan(), first));
   }
 
-  /** A large array that is due begins before others of its priority, however late, with one task. */
+  /**
+   * A large array whose start is overdue starts with one task before other jobs of its priority,
+   * even if it misses objectives.
+   */
   @ParameterizedTest
   @CsvSource({"25000,LOW,true,1", "25000,LOW,false,0", "2,LOW,true,0", "25000,NORMAL,true,0"})
-  void aLargeArrayThatHasWaitedForLongBegins(int tasks, Priority others, boolean due, int begun) {
+  void starvedLargeArrayStartsOneTask(
+      int tasks, Priority otherPriority, boolean startOverdue, int expected) {
     machine("a0", SMALL, "a");
     JobSpec large = spec("wk-1", JobKind.ARRAY, Priority.LOW, tasks, 1, 0, false, false);
-    jobs.add(new JobState("wk-1", JobRecord.created(large, 0), true, true, false, 2, Set.of(), due));
-    job(spec("wk-2", JobKind.ARRAY, others, 4, 1, 0, false, false), 1);
+    jobs.add(
+        new JobState(
+            "wk-1", JobRecord.created(large, 0), true, true, false, 2, Set.of(), startOverdue));
+    job(spec("wk-2", JobKind.ARRAY, otherPriority, 4, 1, 0, false, false), 1);
     Plan plan = plan();
-    assertEquals(begun, placed(plan, "wk-1"));
-    assertEquals(4 - begun, placed(plan, "wk-2"));
+    assertEquals(expected, placed(plan, "wk-1"));
+    assertEquals(4 - expected, placed(plan, "wk-2"));
     assertTrue(
-        plan.unmet().stream().anyMatch(u -> u.job().equals("wk-1")), "the rest is still wanted");
+        plan.unmet().stream().anyMatch(u -> u.job().equals("wk-1")),
+        "the other tasks are reported as unmet");
   }
 
-  /** Hundreds of tasks that all fail would stop others' work, and have machines rented, in vain. */
+  /** Otherwise hundreds of tasks that all fail would cause useless preemptions and rentals. */
   @Test
-  void aSuspectedJobIsTriedWithOneTaskAndNothingIsStoppedOrRentedForIt() {
+  void suspectedJobGetsOneTaskAndNoEvictionsOrRentals() {
     machine("a0", SMALL, "a");
     job(spec("wk-1", JobKind.ARRAY, Priority.LOW, 2, 1, 0, false, false), 0,
         new Assignment("a0", 1, TaskSet.range(0, 2)));
@@ -302,12 +318,12 @@
     jobs.add(new JobState("wk-2", JobRecord.created(spec, 1), true, true, true, 0, Set.of()));
     Plan plan = plan();
     assertEquals(1, placed(plan, "wk-2"));
-    assertTrue(plan.stops().isEmpty());
+    assertTrue(plan.evictions().isEmpty());
     assertTrue(plan.unmet().isEmpty());
   }
 
   @Test
-  void aTeamOwedItsGuaranteeTakesBackWhatAnotherBorrows() {
+  void teamReclaimsItsGuaranteeFromABorrowingTeam() {
     teams.put("t", new Team("t", 0, 4, 0, 8));
     teams.put("u", new Team("u", 0, 4, 0, 8));
     machine("a0", ACCEL, "a");
@@ -321,24 +337,26 @@
             null, false, false, false, 10, 0, 0, null);
     job(other, 9);
     Plan plan = plan();
-    assertTrue(plan.stops().containsKey("wk-1"), "the later one, beyond the guarantee");
-    assertNull(plan.stops().get("wk-0"));
+    assertTrue(
+        plan.evictions().containsKey("wk-1"),
+        "the later job, which is beyond its team's guarantee");
+    assertNull(plan.evictions().get("wk-0"));
   }
 
   @Test
-  void whatNeedsNoAcceleratorWaitsForABootingMachineAndTakesNoneAway() {
+  void cpuOnlyTaskLeavesTheOnlyGpuMachineToAWaitingGang() {
     machine("acc", ACCEL, "a");
     JobSpec gang = spec("wk-1", JobKind.GANG, Priority.NORMAL, 1, 14, 4, false, false);
     job(gang, 0);
     job(spec("wk-2", JobKind.SERVICE, Priority.PRODUCTION, 1, 4, 0, false, false), 0);
     Plan plan = plan();
-    assertEquals(1, placed(plan, "wk-1"), "the only machine for it is kept for it");
+    assertEquals(1, placed(plan, "wk-1"), "the only machine that fits it is reserved for it");
     assertEquals(0, placed(plan, "wk-2"));
-    assertTrue(plan.stops().isEmpty());
+    assertTrue(plan.evictions().isEmpty());
   }
 
   @Test
-  void refusingMachinesArePassedOver() {
+  void excludedMachinesAreNotUsed() {
     machine("a0", SMALL, "a", Set.of("img"), 0, 1);
     machine("a1", SMALL, "a");
     JobSpec spec = spec("wk-1", JobKind.ARRAY, Priority.LOW, 1, 1, 0, false, false);
@@ -347,7 +365,7 @@
   }
 
   @Test
-  void replicasLeaveADrainedMachineOneByOne() {
+  void replicasLeaveADrainedMachineOneAtATime() {
     machines.add(
         new MachineState(
             "old", SMALL, "a", false, 1, false, true, Set.of("img"), Set.of(), 0, 0.5, 1));
@@ -355,50 +373,58 @@
     job(spec("wk-1", JobKind.SERVICE, Priority.PRODUCTION, 2, 1, 0, false, false), 0,
         new Assignment("old", 1, TaskSet.range(0, 2)));
     Plan plan = plan();
-    assertEquals(1, plan.stops().get("wk-1").size());
-    assertEquals(1, plan.stops().get("wk-1").get(0).tasks().size());
-    assertTrue(plan.stops().get("wk-1").get(0).isMove());
+    assertEquals(1, plan.evictions().get("wk-1").size());
+    assertEquals(1, plan.evictions().get("wk-1").get(0).tasks().size());
+    assertTrue(plan.evictions().get("wk-1").get(0).isMove());
   }
 
-  /** What finds no room is told with the zones of the rest, without which the wrong machines are rented. */
+  /** Without the zones of the job's other tasks, machines would be rented in the wrong zones. */
   @ParameterizedTest
   @CsvSource({
     "GANG, 2, false, true, 1, a=1", "GANG, 3, true, false, 1, a=2", "GANG, 3, false, false, 1, ''",
-    "SERVICE, 3, false, true, 1, a=2", "SERVICE, 2, false, true, 1, a=1", "ARRAY, 4, true, false, 2, a=2",
-    "ARRAY, 4, false, false, 2, ''"
+    "SERVICE, 3, false, true, 1, a=2", "SERVICE, 2, false, true, 1, a=1",
+    "ARRAY, 4, true, false, 2, a=2", "ARRAY, 4, false, false, 2, ''"
   })
-  void whatFindsNoRoomIsToldWithTheZonesOfTheRest(
-      JobKind shape, int tasks, boolean together, boolean scatter, int left, String zones) {
+  void unmetDemandNamesTheZonesOfTheOtherTasks(
+      JobKind kind, int tasks, boolean sameZone, boolean scatter, int unmetTasks, String zones) {
     machine("x", SMALL, "a", Set.of(), 0, 1);
     machine("y", SMALL, "a", Set.of(), 0, 1);
-    job(spec("wk-1", shape, Priority.NORMAL, tasks, SMALL.cpus(), 0, together, scatter), 0);
+    job(spec("wk-1", kind, Priority.NORMAL, tasks, SMALL.cpus(), 0, sameZone, scatter), 0);
     Plan.UnmetDemand unmet = plan().unmet().get(0);
-    assertEquals(left, unmet.tasks());
-    assertEquals(zones, unmet.zones().entrySet().stream().map(Object::toString).collect(Collectors.joining(" ")));
+    assertEquals(unmetTasks, unmet.tasks());
+    assertEquals(
+        zones,
+        unmet.tasksByZone().entrySet().stream()
+            .map(Object::toString)
+            .collect(Collectors.joining(" ")));
   }
 
-  private Plan planOnFewMachines(int machinesOfRound) {
+  private Plan planWithMachineLimit(int maxMachines) {
     return Planner.plan(
         new Snapshot(machines, booting, jobs, teams),
-        new Planner.Bounds(new RecordSizeLimit(8192), machinesOfRound, 1000));
+        new Planner.Bounds(new RecordSizeLimit(8192), maxMachines, 1000));
   }
 
-  /** Ten begun machines that the gang fits best on, and three whole ones that a transaction can name. */
+  /**
+   * A gang of 12 tasks, 12 partly used machines that fit one task each and are preferred, and three
+   * whole machines. If a transaction can't include 12 machines, the gang has to use the three whole
+   * ones.
+   */
   @ParameterizedTest
   @CsvSource({"12,0", "3,12", "2,0"})
-  void aGangTakesTheRoomiestWhereTheBestCanNotBeNamed(int machinesOfRound, int onWhole) {
+  void gangUsesLargestMachinesWhereTheBestExceedTheTransaction(int maxMachines, int onWhole) {
     for (int i = 0; i < 12; i++) {
-      machine("begun-" + i, SMALL, "a", Set.of("img"), 0, 1);
+      machine("partly-used-" + i, SMALL, "a", Set.of("img"), 0, 1);
       job(
           spec("wk-1" + i, JobKind.SERVICE, Priority.PRODUCTION, 1, 3, 0, false, false),
           0,
-          new Assignment("begun-" + i, 1, TaskSet.EMPTY.with(0)));
+          new Assignment("partly-used-" + i, 1, TaskSet.EMPTY.with(0)));
     }
     for (int i = 0; i < 3; i++) {
       machine("whole-" + i, SMALL, "a", Set.of("img"), 0, 1);
     }
     job(spec("wk-2", JobKind.GANG, Priority.HIGH, 12, 1, 0, false, false), 1);
-    Plan plan = planOnFewMachines(machinesOfRound);
+    Plan plan = planWithMachineLimit(maxMachines);
     int placed = 0;
     for (int i = 0; i < 3; i++) {
       placed += placed(plan, "wk-2", "whole-" + i);
@@ -406,24 +432,28 @@
     assertEquals(onWhole, placed);
   }
 
-  /** It would hold the room for ever, and what was rented for it would stand idle. */
+  /** It would reserve capacity permanently, and machines rented for it would stay idle. */
   @Test
-  void aGangThatCanNeverBeNamedKeepsNoRoom() {
+  void gangTooLargeForOneTransactionReservesNothing() {
     for (int i = 0; i < 4; i++) {
       machine("n-" + i, SMALL, "a");
     }
     job(spec("wk-1", JobKind.GANG, Priority.HIGH, 16, 1, 0, false, false), 0);
     job(spec("wk-2", JobKind.ARRAY, Priority.LOW, 8, 1, 0, false, false), 1);
-    Plan plan = planOnFewMachines(3);
+    Plan plan = planWithMachineLimit(3);
     assertEquals(0, placed(plan, "wk-1"));
     assertEquals(8, placed(plan, "wk-2"));
     assertEquals(List.of(), plan.unmet());
   }
 
-  /** Of jobs behind the bound it is told what they lack, counted on what those before them leave. */
+  /**
+   * For jobs beyond the write limit only their shortage is reported, computed from the capacity
+   * that the jobs before them leave.
+   */
   @ParameterizedTest
   @CsvSource({"2,1,2", "4,2,2", "6,2,2"})
-  void behindTheBoundOnlyWhatIsLackingIsTold(int bound, int placedJobs, int lacking) {
+  void beyondTheWriteLimitOnlyShortagesAreReported(
+      int maxJobWrites, int placedJobs, int unmetTasks) {
     machine("n-0", SMALL, "a");
     machine("n-1", SMALL, "b");
     for (int i = 1; i <= 3; i++) {
@@ -432,8 +462,8 @@
     Plan plan =
         Planner.plan(
             new Snapshot(machines, booting, jobs, teams),
-            new Planner.Bounds(new RecordSizeLimit(8192), 30, bound));
+            new Planner.Bounds(new RecordSizeLimit(8192), 30, maxJobWrites));
     assertEquals(placedJobs, Math.min(2, plan.placements().size()));
-    assertEquals(lacking, plan.unmet().stream().mapToInt(Plan.UnmetDemand::tasks).sum());
+    assertEquals(unmetTasks, plan.unmet().stream().mapToInt(Plan.UnmetDemand::tasks).sum());
   }
 }
