--- a/src/main/java/io/tansystack/fleet/ScaleDownPolicy.java
+++ b/src/main/java/io/tansystack/fleet/ScaleDownPolicy.java
@@ -191,7 +191,7 @@
     }
     lastBusy = now; // Whatever comes of it, the next look is a while later: it goes through everything.
     List<String> names =
-        Consolidation.pick(
+        Consolidation.selectMachinesToDrain(
             snapshot,
             // Machines that are wanted warm when jobs come are not worth moving replicas about.
             machine -> keepFactor(machine.type(), FOREVER, now) < MAX_KEEP,
--- a/src/main/java/io/tansystack/jobs/SchedulingState.java
+++ b/src/main/java/io/tansystack/jobs/SchedulingState.java
@@ -168,7 +168,7 @@
   /** Who doesn't plan keeps no rooms. */
   private void keepRooms(JobRecord before, JobRecord after) {
     if (plans) {
-      rooms.job(before, after);
+      rooms.updateJob(before, after);
     }
   }
 
@@ -321,10 +321,10 @@
       MachineRecord record = world.machine(name);
       MachineState state = record == null ? null : machineStates.of(record, faulty.contains(name));
       if (state == null) {
-        rooms.remove(name);
+        rooms.removeMachine(name);
         typesMissing |= record != null;
       } else {
-        rooms.machine(state);
+        rooms.updateMachine(state);
       }
     }
     dirtyMachines.clear();
@@ -336,7 +336,7 @@
 
   private void markMachines() {
     world.machines().keySet().forEach(this::markMachine);
-    rooms.names().forEach(this::markMachine);
+    rooms.machineNames().forEach(this::markMachine);
   }
 
   private void markMachine(String name) {
--- a/src/main/java/io/tansystack/schedule/AcceleratorReservation.java
+++ b/src/main/java/io/tansystack/schedule/AcceleratorReservation.java
@@ -10,142 +10,171 @@
 import java.util.Map;
 
 /**
- * Keeps machines with accelerators for the work that needs those. By delivery time alone, cheap tasks
- * would fill them, and gangs would wait for their only machines.
+ * Reserves machines with accelerators (GPUs) for tasks that need them. If only the predicted
+ * completion time decided, tasks without accelerators would fill these machines, and gangs would
+ * wait for the only machines that they can run on.
  */
 final class AcceleratorReservation {
-  /** What waits for accelerators, and how many such tasks all machines together could take now. */
-  private final class Waiting {
-    final JobSpec shape;
-    final Reference2IntOpenHashMap<MachineCapacity> placesIn = new Reference2IntOpenHashMap<>();
-    int places;
+  /**
+   * A request of jobs that wait for accelerators, and how many such tasks fit on all machines
+   * together now.
+   */
+  private final class PendingRequest {
+    final JobSpec spec;
+    final Reference2IntOpenHashMap<MachineCapacity> fittingByMachine =
+        new Reference2IntOpenHashMap<>();
+    int fittingTasks;
 
-    /** So many of the pass's changes are taken in; -1 before the first question. */
-    int seen = -1;
+    /** How many of the pass's changes the counts include; -1 before the first count. */
+    int appliedChanges = -1;
 
-    Waiting(JobSpec shape) {
-      this.shape = shape;
+    PendingRequest(JobSpec spec) {
+      this.spec = spec;
     }
 
-    /** Counted once in a pass, and then only where rooms have changed. */
-    int places() {
-      List<MachineCapacity> changes = rooms.changes();
-      if (seen < 0) {
-        (ResourceRequest.of(shape).needsCpus() ? rooms.free() : rooms.all()).forEach(this::count);
+    /**
+     * How many tasks with this request fit now. All machines are counted once in a pass, after that
+     * only the machines that have changed since.
+     */
+    int fittingTasks() {
+      List<MachineCapacity> changes = clusterCapacity.changes();
+      if (appliedChanges < 0) {
+        (ResourceRequest.of(spec).needsCpus()
+                ? clusterCapacity.withFreeCpus()
+                : clusterCapacity.all())
+            .forEach(this::recount);
       } else {
-        for (; seen < changes.size(); seen++) {
-          count(changes.get(seen));
+        for (; appliedChanges < changes.size(); appliedChanges++) {
+          recount(changes.get(appliedChanges));
         }
       }
-      seen = changes.size();
-      return places;
+      appliedChanges = changes.size();
+      return fittingTasks;
     }
 
-    private void count(MachineCapacity room) {
-      if (room.machine.type().gpus() > 0 && room.machine.acceptsTasks() && allows(shape, room)) {
-        int now = room.fits(shape);
-        places += now - placesIn.put(room, now);
+    private void recount(MachineCapacity machine) {
+      if (machine.state.type().gpus() > 0 && machine.state.acceptsTasks() && allows(spec, machine)) {
+        int fitting = machine.fits(spec);
+        fittingTasks += fitting - fittingByMachine.put(machine, fitting);
       }
     }
   }
 
-  private final ClusterCapacity rooms;
+  private final ClusterCapacity clusterCapacity;
 
-  /** One job for each distinct thing that is asked of accelerators. */
-  private final Map<ResourceRequest, JobSpec> shapes = new LinkedHashMap<>();
+  /** The distinct requests of active jobs that need accelerators, each with one such job. */
+  private final Map<ResourceRequest, JobSpec> gpuRequests = new LinkedHashMap<>();
 
-  /** Those of them that have nothing placed: machines that could take them are kept for them. */
-  private final Map<ResourceRequest, Waiting> waiting = new LinkedHashMap<>();
+  /**
+   * The requests of those jobs that have no placement and are not suspected. Machines that could
+   * run their tasks are reserved for them.
+   */
+  private final Map<ResourceRequest, PendingRequest> pendingRequests = new LinkedHashMap<>();
 
-  private int waitingTasks;
+  /** Number of tasks of all jobs with a pending request. */
+  private int pendingTasks;
 
-  /** Machines that are booting, without accelerators: worth waiting for. */
-  private final List<MachineCapacity> coming = new ArrayList<>();
+  /** Booting machines without accelerators: tasks that need none wait for these. */
+  private final List<MachineCapacity> bootingWithoutGpus = new ArrayList<>();
 
-  AcceleratorReservation(ClusterCapacity rooms, List<MachineState> booting) {
-    this.rooms = rooms;
+  AcceleratorReservation(ClusterCapacity clusterCapacity, List<MachineState> booting) {
+    this.clusterCapacity = clusterCapacity;
     for (MachineState machine : booting) {
       if (machine.type().gpus() <= 0) {
-        coming.add(new MachineCapacity(machine));
+        bootingWithoutGpus.add(new MachineCapacity(machine));
       }
     }
   }
 
-  void count(JobState job) {
+  /** Registers the job's request if the job is active and needs accelerators. */
+  void addJob(JobState job) {
     JobSpec spec = job.record().spec();
     if (spec.gpus() <= 0 || !job.record().active()) {
       return;
     }
-    ResourceRequest ask = ResourceRequest.of(spec);
-    shapes.putIfAbsent(ask, spec);
+    ResourceRequest request = ResourceRequest.of(spec);
+    gpuRequests.putIfAbsent(request, spec);
     if (job.record().placements().isEmpty() && !job.suspected()) {
-      waiting.computeIfAbsent(ask, k -> new Waiting(spec));
-      waitingTasks += spec.tasks();
+      pendingRequests.computeIfAbsent(request, k -> new PendingRequest(spec));
+      pendingTasks += spec.tasks();
     }
   }
 
-  /** Whether one more such task takes the place of a task that needs this machine's accelerators. */
-  boolean spoils(JobSpec spec, MachineCapacity room) {
-    if (spec.gpus() > 0 || room.machine.type().gpus() <= 0) {
+  /**
+   * Whether one more such task, which needs no accelerators, would leave too few CPUs or too little
+   * memory for a task that needs this machine's accelerators. If no job needs accelerators, true
+   * for every machine that has some.
+   */
+  boolean strandsAccelerators(JobSpec spec, MachineCapacity machine) {
+    if (spec.gpus() > 0 || machine.state.type().gpus() <= 0) {
       return false;
     }
-    for (JobSpec shape : shapes.values()) {
-      if (shape.allowsType(room.machine.type().name())) {
-        int before = room.fits(shape);
+    for (JobSpec gpuRequest : gpuRequests.values()) {
+      if (gpuRequest.allowsType(machine.state.type().name())) {
+        int before = machine.fits(gpuRequest);
         int after =
-            MachineCapacity.count(
-                shape, room.cpus - spec.cpus(), room.gpus, room.mem - spec.memGb());
+            MachineCapacity.countFitting(
+                gpuRequest,
+                machine.freeCpus - spec.cpus(),
+                machine.freeGpus,
+                machine.freeMemGb - spec.memGb());
         if (after < before) {
           return true;
         }
       }
     }
-    return shapes.isEmpty();
+    return gpuRequests.isEmpty();
   }
 
-  /** Tasks that ask for more accelerators than this one, one of each kind. */
-  List<JobSpec> larger(JobSpec spec) {
+  /**
+   * One job for each distinct request for more accelerators than this job's tasks need; empty if
+   * they need none.
+   */
+  List<JobSpec> largerRequests(JobSpec spec) {
     List<JobSpec> larger = new ArrayList<>();
-    for (JobSpec shape : shapes.values()) {
-      if (spec.gpus() > 0 && shape.gpus() > spec.gpus()) {
-        larger.add(shape);
+    for (JobSpec gpuRequest : gpuRequests.values()) {
+      if (spec.gpus() > 0 && gpuRequest.gpus() > spec.gpus()) {
+        larger.add(gpuRequest);
       }
     }
     return larger;
   }
 
   /**
-   * Whether a waiting job needs the accelerators that a task would spoil, and no other machine is
-   * left for it. Without this the first machines to boot, often those with accelerators, fill up with
-   * replicas that stay for long while the jobs they were rented for go on waiting.
+   * Whether the machine is reserved for a waiting job: the job's tasks fit on it, and all machines
+   * together can't run more such tasks than are pending, so that no other machine can replace this
+   * one. Without this check the first machines to boot, often those with accelerators, fill up with
+   * replicas that run for long, while the jobs for which they were rented keep waiting.
    */
-  boolean keptForOthers(MachineCapacity room) {
-    for (Waiting others : waiting.values()) {
-      if (room.fits(others.shape) > 0
-          && allows(others.shape, room)
-          && others.places() <= waitingTasks) {
+  boolean reservedForOthers(MachineCapacity machine) {
+    for (PendingRequest pending : pendingRequests.values()) {
+      if (machine.fits(pending.spec) > 0
+          && allows(pending.spec, machine)
+          && pending.fittingTasks() <= pendingTasks) {
         return true;
       }
     }
     return false;
   }
 
-  private static boolean allows(JobSpec shape, MachineCapacity room) {
-    MachineState m = room.machine;
-    return shape.allows(m.type().name(), m.zone(), m.spot());
+  private static boolean allows(JobSpec spec, MachineCapacity machine) {
+    MachineState state = machine.state;
+    return spec.allows(state.type().name(), state.zone(), state.spot());
   }
 
   /**
-   * Whether the task had better wait for a machine that is booting than spoil one with accelerators.
-   * Machines with accelerators often boot first; replicas that fill them then stay for long.
+   * Whether the task should wait for a machine without accelerators that is booting, because it
+   * would strand accelerators on the given machine. If so, capacity on the booting machine is
+   * reserved for the task. Machines with accelerators often boot first, and replicas that fill them
+   * run for long.
    */
-  boolean waitsForComing(JobSpec spec, MachineCapacity room) {
-    if (!spoils(spec, room)) {
+  boolean waitsForBootingMachine(JobSpec spec, MachineCapacity machine) {
+    if (!strandsAccelerators(spec, machine)) {
       return false;
     }
-    for (MachineCapacity next : coming) {
-      if (allows(spec, next) && next.fits(spec) > 0) {
-        next.take(spec, 1);
+    for (MachineCapacity booting : bootingWithoutGpus) {
+      if (allows(spec, booting) && booting.fits(spec) > 0) {
+        booting.reserve(spec, 1);
         return true;
       }
     }
--- a/src/main/java/io/tansystack/schedule/CandidateRanking.java
+++ b/src/main/java/io/tansystack/schedule/CandidateRanking.java
@@ -66,7 +66,7 @@
     Map<String, List<ScoredCandidate>> byZone = new TreeMap<>();
     for (MachineCapacity machine : machines) {
       byZone
-          .computeIfAbsent(machine.machine.zone(), k -> new ArrayList<>())
+          .computeIfAbsent(machine.state.zone(), k -> new ArrayList<>())
           .add(scorer.apply(machine));
     }
     byZone.forEach(
@@ -96,7 +96,7 @@
   }
 
   private void rescore(MachineCapacity machine) {
-    ZoneRanking zone = zones.get(machine.machine.zone());
+    ZoneRanking zone = zones.get(machine.state.zone());
     if (zone == null) {
       return; // No machine of the zone fitted a task, and free capacity only shrinks in a pass.
     }
@@ -132,7 +132,7 @@
     for (List<ScoredCandidate> zone : found) {
       List<MachineCapacity> machines = new ArrayList<>(zone.size());
       zone.forEach(candidate -> machines.add(candidate.machine()));
-      result.put(zone.get(0).machine().machine.zone(), machines);
+      result.put(zone.get(0).machine().state.zone(), machines);
     }
     return result;
   }
--- a/src/main/java/io/tansystack/schedule/CandidateSelector.java
+++ b/src/main/java/io/tansystack/schedule/CandidateSelector.java
@@ -94,7 +94,7 @@
     if (isExhausted(job)) {
       return List.of();
     }
-    if (tasks <= maxPlacements && reservation.larger(job.record().spec()).isEmpty()) {
+    if (tasks <= maxPlacements && reservation.largerRequests(job.record().spec()).isEmpty()) {
       List<ScoredCandidate> top = topCandidates(job, maxMachines + 1);
       recordIfExhausted(job, top.isEmpty());
       return machines(top);
@@ -129,7 +129,7 @@
       ScoredCandidate worst = top.size() < count ? null : top.peek();
       if (worst != null
           && worst.tier() == GPUS_USABLE
-          && machine.delivery(spec) > worst.completionStep()) {
+          && machine.predictedCompletionS(spec) > worst.completionStep()) {
         continue;
       }
       ScoredCandidate candidate = score(spec, machine);
@@ -151,8 +151,8 @@
    * earlier failure, and not reserved for other jobs whose accelerators the task would strand.
    */
   private boolean isEligible(JobState job, ScoredCandidate candidate) {
-    return !job.excludedMachines().contains(candidate.machine().machine.name())
-        && (candidate.tier() == GPUS_USABLE || !reservation.keptForOthers(candidate.machine()));
+    return !job.excludedMachines().contains(candidate.machine().state.name())
+        && (candidate.tier() == GPUS_USABLE || !reservation.reservedForOthers(candidate.machine()));
   }
 
   /**
@@ -164,7 +164,7 @@
     if (isExhausted(job)) {
       return Map.of();
     }
-    if (spec.estimateS() <= 0 && reservation.larger(spec).isEmpty()) {
+    if (spec.estimateS() <= 0 && reservation.largerRequests(spec).isEmpty()) {
       Map<String, List<MachineCapacity>> ranked = rankedByZone(job, tasks);
       if (ranked != null) {
         recordIfExhausted(job, ranked.isEmpty());
@@ -178,7 +178,7 @@
     zones.sort((one, other) -> order.compare(one.get(0), other.get(0)));
     Map<String, List<MachineCapacity>> result = new LinkedHashMap<>();
     for (List<ScoredCandidate> zone : zones) {
-      result.put(zone.get(0).machine().machine.zone(), machines(zone));
+      result.put(zone.get(0).machine().state.zone(), machines(zone));
     }
     return result;
   }
@@ -210,10 +210,10 @@
   }
 
   private ScoredCandidate score(JobSpec spec, MachineCapacity machine) {
-    double completionS = machine.delivery(spec);
-    int tier = reservation.spoils(spec, machine) ? GPUS_STRANDED : GPUS_USABLE;
+    double completionS = machine.predictedCompletionS(spec);
+    int tier = reservation.strandsAccelerators(spec, machine) ? GPUS_STRANDED : GPUS_USABLE;
     return new ScoredCandidate(
-        machine, tier, completionS, 0, 0, machine.cpus - spec.cpus(), completionS);
+        machine, tier, completionS, 0, 0, machine.freeCpus - spec.cpus(), completionS);
   }
 
   /**
@@ -249,7 +249,7 @@
       List<ScoredCandidate> candidates, int maxInZone, Comparator<ScoredCandidate> order) {
     Map<String, List<ScoredCandidate>> zones = new TreeMap<>();
     for (ScoredCandidate s : candidates) {
-      zones.computeIfAbsent(s.machine().machine.zone(), k -> new ArrayList<>()).add(s);
+      zones.computeIfAbsent(s.machine().state.zone(), k -> new ArrayList<>()).add(s);
     }
     zones.replaceAll((zone, list) -> top(list, maxInZone, order));
     return zones;
@@ -289,7 +289,7 @@
   /** Scores all eligible machines that fit a task, in no particular order. */
   private List<ScoredCandidate> scoreAll(JobState job, int tasks) {
     JobSpec spec = job.record().spec();
-    List<JobSpec> larger = reservation.larger(spec);
+    List<JobSpec> larger = reservation.largerRequests(spec);
     List<ScoredCandidate> candidates = new ArrayList<>();
     for (MachineCapacity machine : index.fitting(ResourceRequest.of(spec))) {
       ScoredCandidate candidate = score(spec, machine);
@@ -336,8 +336,8 @@
                 s.tier(),
                 Math.floor((s.completionS() - bestS) / nearlyEqualS),
                 fragments(spec, s.machine(), larger) ? WHOLE_FRAGMENTED : PARTLY_USED,
-                price(s.machine().machine),
-                s.machine().gpus - spec.gpus(),
+                price(s.machine().state),
+                s.machine().freeGpus - spec.gpus(),
                 s.completionS()));
     candidates.sort(null);
     int spareWhole = 0;
@@ -374,13 +374,13 @@
   /** Whether the machine would fit fewer of some larger task after taking this one. */
   private static boolean fragments(JobSpec spec, MachineCapacity machine, List<JobSpec> larger) {
     for (JobSpec largerSpec : larger) {
-      if (largerSpec.allowsType(machine.machine.type().name())
+      if (largerSpec.allowsType(machine.state.type().name())
           && machine.fits(largerSpec)
-              > MachineCapacity.count(
+              > MachineCapacity.countFitting(
                   largerSpec,
-                  machine.cpus - spec.cpus(),
-                  machine.gpus - spec.gpus(),
-                  machine.mem - spec.memGb())) {
+                  machine.freeCpus - spec.cpus(),
+                  machine.freeGpus - spec.gpus(),
+                  machine.freeMemGb - spec.memGb())) {
         return true;
       }
     }
--- a/src/main/java/io/tansystack/schedule/CapacityIndex.java
+++ b/src/main/java/io/tansystack/schedule/CapacityIndex.java
@@ -12,102 +12,116 @@
 import java.util.function.Predicate;
 
 /**
- * Finds the machines that can take a job's tasks within one pass. What asks the same is looked up
- * once; from then on only the rooms that fitted are looked at, since room only shrinks during a pass.
+ * Finds the machines that can run a job's tasks within one pass. All machines are searched once for
+ * each distinct request; after that only the machines that fitted are checked again, since free
+ * capacity only shrinks during a pass.
  */
 final class CapacityIndex {
-  /** What is known of an ask: the kinds of machine that it allows, and rooms that fitted so far. */
-  private static final class Answer {
-    final BitSet kinds;
+  /** Cached result for a request: the offerings that it allows and the machines that fitted. */
+  private static final class CachedMatch {
+    final BitSet allowedOfferings;
+
+    /** In the order of names; null until the first search. */
     List<MachineCapacity> fitting;
 
-    /** Rooms before this one have become full since the list was last cleared of those. */
-    int first;
+    /**
+     * Index in {@link #fitting}. The machines before it don't fit any more and have not been
+     * removed from the list yet.
+     */
+    int firstFitting;
 
-    Answer(BitSet kinds) {
-      this.kinds = kinds;
+    CachedMatch(BitSet allowedOfferings) {
+      this.allowedOfferings = allowedOfferings;
     }
   }
 
-  private final ClusterCapacity rooms;
-  private final Map<ResourceRequest, Answer> answers = new HashMap<>();
+  private final ClusterCapacity clusterCapacity;
+  private final Map<ResourceRequest, CachedMatch> matches = new HashMap<>();
 
-  /** What found no machine at all in this pass. */
-  private final List<ResourceRequest> fullFor = new ArrayList<>();
+  /** Requests for which no machine fits in this pass. */
+  private final List<ResourceRequest> unsatisfiedRequests = new ArrayList<>();
 
-  CapacityIndex(ClusterCapacity rooms) {
-    this.rooms = rooms;
+  CapacityIndex(ClusterCapacity clusterCapacity) {
+    this.clusterCapacity = clusterCapacity;
   }
 
-  private Answer answer(ResourceRequest ask) {
-    return answers.computeIfAbsent(ask, k -> new Answer(allowedKinds(ask)));
+  private CachedMatch match(ResourceRequest request) {
+    return matches.computeIfAbsent(request, k -> new CachedMatch(allowedOfferings(request)));
   }
 
-  private BitSet allowedKinds(ResourceRequest ask) {
+  private BitSet allowedOfferings(ResourceRequest request) {
     BitSet allowed = new BitSet();
-    List<MachineOffering> kinds = rooms.kinds();
-    for (int i = 0; i < kinds.size(); i++) {
-      MachineOffering kind = kinds.get(i);
-      allowed.set(i, ask.allows(kind.type(), kind.zone(), kind.spot()));
+    List<MachineOffering> offerings = clusterCapacity.offerings();
+    for (int i = 0; i < offerings.size(); i++) {
+      MachineOffering offering = offerings.get(i);
+      allowed.set(i, request.allows(offering.type(), offering.zone(), offering.spot()));
     }
     return allowed;
   }
 
-  /** Whether what asks so may stand in a room at all, be there space or not. */
-  Predicate<MachineCapacity> allowed(ResourceRequest ask) {
-    BitSet kinds = answer(ask).kinds;
-    return room -> room.machine.acceptsTasks() && kinds.get(room.kind);
+  /** Accepts machines that are open and that the request allows, whether the task fits or not. */
+  Predicate<MachineCapacity> allowed(ResourceRequest request) {
+    BitSet allowedOfferings = match(request).allowedOfferings;
+    return machine -> machine.state.acceptsTasks() && allowedOfferings.get(machine.offeringNumber);
   }
 
-  /** Whether the job may. */
-  Predicate<MachineCapacity> allowed(JobState job, ResourceRequest ask) {
-    Set<String> avoid = job.excludedMachines();
-    return allowed(ask).and(room -> !avoid.contains(room.machine.name()));
+  /** As {@link #allowed(ResourceRequest)}, without the machines that the job excludes. */
+  Predicate<MachineCapacity> allowed(JobState job, ResourceRequest request) {
+    Set<String> excluded = job.excludedMachines();
+    return allowed(request).and(machine -> !excluded.contains(machine.state.name()));
   }
 
-  /** Rooms that may and can take one such task now, in the order of names; not to be changed. */
-  List<MachineCapacity> fitting(ResourceRequest ask) {
-    Answer answer = searched(ask);
-    answer.fitting.removeIf(room -> !room.fitsOne(ask));
-    answer.first = 0;
-    if (answer.fitting.isEmpty() && !isFull(ask)) {
-      fullFor.add(ask);
+  /**
+   * Open machines that the request allows and that one such task fits on now, in the order of
+   * names. The returned list is an unmodifiable view.
+   */
+  List<MachineCapacity> fitting(ResourceRequest request) {
+    CachedMatch match = searchedMatch(request);
+    match.fitting.removeIf(machine -> !machine.fitsOne(request));
+    match.firstFitting = 0;
+    if (match.fitting.isEmpty() && !isUnsatisfied(request)) {
+      unsatisfiedRequests.add(request);
     }
-    return Collections.unmodifiableList(answer.fitting);
+    return Collections.unmodifiableList(match.fitting);
   }
 
-  /** The same with rooms among them that have become full since; costs little where few are looked at. */
-  List<MachineCapacity> mayFit(ResourceRequest ask) {
-    Answer answer = searched(ask);
-    List<MachineCapacity> rooms = answer.fitting;
-    while (answer.first < rooms.size() && !rooms.get(answer.first).fitsOne(ask)) {
-      answer.first++;
+  /**
+   * As {@link #fitting}, but may contain machines that have become full since the last search.
+   * Cheaper for a caller that looks at a few machines only.
+   */
+  List<MachineCapacity> possiblyFitting(ResourceRequest request) {
+    CachedMatch match = searchedMatch(request);
+    List<MachineCapacity> machines = match.fitting;
+    while (match.firstFitting < machines.size()
+        && !machines.get(match.firstFitting).fitsOne(request)) {
+      match.firstFitting++;
     }
-    return rooms.subList(answer.first, rooms.size());
+    return machines.subList(match.firstFitting, machines.size());
   }
 
-  private Answer searched(ResourceRequest ask) {
-    Answer answer = answer(ask);
-    if (answer.fitting == null) {
-      answer.fitting = isFull(ask) ? new ArrayList<>() : search(ask);
+  private CachedMatch searchedMatch(ResourceRequest request) {
+    CachedMatch match = match(request);
+    if (match.fitting == null) {
+      match.fitting = isUnsatisfied(request) ? new ArrayList<>() : search(request);
     }
-    return answer;
+    return match;
   }
 
-  private List<MachineCapacity> search(ResourceRequest ask) {
-    Predicate<MachineCapacity> allowed = allowed(ask);
+  private List<MachineCapacity> search(ResourceRequest request) {
+    Predicate<MachineCapacity> allowed = allowed(request);
     List<MachineCapacity> found = new ArrayList<>();
-    for (MachineCapacity room : ask.needsCpus() ? rooms.free() : rooms.all()) {
-      if (allowed.test(room) && room.fitsOne(ask)) {
-        found.add(room);
+    for (MachineCapacity machine :
+        request.needsCpus() ? clusterCapacity.withFreeCpus() : clusterCapacity.all()) {
+      if (allowed.test(machine) && machine.fitsOne(request)) {
+        found.add(machine);
       }
     }
     return found;
   }
 
-  private boolean isFull(ResourceRequest ask) {
-    for (ResourceRequest full : fullFor) {
-      if (ask.asksNoLessThan(full)) {
+  private boolean isUnsatisfied(ResourceRequest request) {
+    for (ResourceRequest unsatisfied : unsatisfiedRequests) {
+      if (request.isAtLeast(unsatisfied)) {
         return true;
       }
     }
--- a/src/main/java/io/tansystack/schedule/CapacityReclaimer.java
+++ b/src/main/java/io/tansystack/schedule/CapacityReclaimer.java
@@ -11,105 +11,116 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** For tasks that found no room: counts on what is leaving, and stops what may be stopped for them. */
+/**
+ * Finds capacity for tasks that don't fit into the free capacity: first capacity that tasks being
+ * stopped release, then capacity of tasks that it preempts.
+ */
 final class CapacityReclaimer {
-  private final ClusterCapacity rooms;
+  private final ClusterCapacity clusterCapacity;
   private final CapacityIndex index;
-  private final AcceleratorReservation keep;
-  private final TeamQuotaTracker teams;
+  private final AcceleratorReservation reservation;
+  private final TeamQuotaTracker teamQuotas;
   private final Preemption preemption;
-  private final UnsatisfiableRequests exhausted = new UnsatisfiableRequests();
+  private final UnsatisfiableRequests unsatisfiable = new UnsatisfiableRequests();
 
   CapacityReclaimer(
-      ClusterCapacity rooms,
+      ClusterCapacity clusterCapacity,
       CapacityIndex index,
-      AcceleratorReservation keep,
-      TeamQuotaTracker teams,
+      AcceleratorReservation reservation,
+      TeamQuotaTracker teamQuotas,
       Preemption preemption) {
-    this.rooms = rooms;
+    this.clusterCapacity = clusterCapacity;
     this.index = index;
-    this.keep = keep;
-    this.teams = teams;
+    this.reservation = reservation;
+    this.teamQuotas = teamQuotas;
     this.preemption = preemption;
   }
 
-  /** Whether the job may have others' work stopped for it now. */
+  /** Whether tasks of other jobs may be preempted for the job now. */
   boolean mayPreempt(JobState job) {
     return job.preemptionDelayElapsed()
-        && (job.record().spec().priority() != Priority.LOW || teams.guaranteed(job.id()));
+        && (job.record().spec().priority() != Priority.LOW || teamQuotas.guaranteed(job.id()));
   }
 
   /**
-   * First counts on what is being stopped already, then stops work that may be preempted. Returns how
-   * many tasks are left even so.
+   * Reserves capacity that is being released already, then preempts tasks where that is allowed.
    *
-   * @param zones copies of the job by zone; those for which there will be room are added
-   * @param mayPreempt whether anything may be stopped
+   * @param zones tasks of the job by zone; those for which capacity is reclaimed are added
+   * @param mayPreempt whether tasks may be preempted
+   * @return number of tasks for which no capacity was found
    */
-  int makeRoom(
-      JobState job, int tasks, Object2IntOpenHashMap<String> zones, boolean mayPreempt) {
+  int reclaim(JobState job, int tasks, Object2IntOpenHashMap<String> zones, boolean mayPreempt) {
     JobSpec spec = job.record().spec();
-    ResourceRequest ask = ResourceRequest.of(spec);
-    boolean owed = teams.guaranteed(job.id());
-    if (exhausted.covers(ask, spec, owed, openZones(spec, zones))) {
+    ResourceRequest request = ResourceRequest.of(spec);
+    boolean guaranteed = teamQuotas.guaranteed(job.id());
+    if (unsatisfiable.covers(request, spec, guaranteed, openZones(spec, zones))) {
       return tasks;
     }
-    int left = tasks;
-    List<MachineCapacity> allowed = allowed(job, ask, mayPreempt);
-    for (MachineCapacity room : allowed) {
-      while (left > 0 && room.fitsSoon(spec) && ZoneConstraints.allows(spec, zones, room)) {
-        room.take(spec, 1);
-        zones.addTo(room.machine.zone(), 1);
-        left--;
+    int remaining = tasks;
+    List<MachineCapacity> eligible = eligibleMachines(job, request, mayPreempt);
+    for (MachineCapacity machine : eligible) {
+      while (remaining > 0
+          && machine.fitsAfterReleases(spec)
+          && ZoneConstraints.allows(spec, zones, machine)) {
+        machine.reserve(spec, 1);
+        zones.addTo(machine.state.zone(), 1);
+        remaining--;
       }
     }
-    if (left > 0 && mayPreempt) {
-      left = preemption.stopFor(job, left, allowed, zones);
-      if (left > 0 && preemption.lookedAtAll() && job.excludedMachines().isEmpty()) {
-        exhausted.add(ask, spec, owed, openZones(spec, zones));
+    if (remaining > 0 && mayPreempt) {
+      remaining = preemption.preemptFor(job, remaining, eligible, zones);
+      if (remaining > 0 && preemption.consideredAll() && job.excludedMachines().isEmpty()) {
+        unsatisfiable.add(request, spec, guaranteed, openZones(spec, zones));
       }
     }
-    return left;
+    return remaining;
   }
 
-  /** Zones that the job allows and in which more copies of it may stand. */
+  /** Zones that the job allows and in which more of its tasks may run. */
   private List<String> openZones(JobSpec spec, Object2IntOpenHashMap<String> zones) {
-    boolean matter = ZoneConstraints.matterFor(spec);
+    boolean zonesMatter = ZoneConstraints.matterFor(spec);
     List<String> open = new ArrayList<>();
-    for (String zone : rooms.zones()) {
+    for (String zone : clusterCapacity.zones()) {
       boolean allowed = spec.zone() == null || spec.zone().equals(zone);
-      if (allowed && (!matter || ZoneConstraints.remaining(spec, zones, zone) > 0)) {
+      if (allowed && (!zonesMatter || ZoneConstraints.remaining(spec, zones, zone) > 0)) {
         open.add(zone);
       }
     }
     return open;
   }
 
-  /** Rooms that may do, in the order of names. Room that the task was kept out of stays free. */
-  private List<MachineCapacity> allowed(JobState job, ResourceRequest ask, boolean mayPreempt) {
+  /**
+   * Machines on which capacity may be reclaimed for the job, in the order of names. Machines whose
+   * accelerators the task would strand are left out, so capacity that was denied to the task for
+   * that reason stays free.
+   */
+  private List<MachineCapacity> eligibleMachines(
+      JobState job, ResourceRequest request, boolean mayPreempt) {
     JobSpec spec = job.record().spec();
-    Predicate<MachineCapacity> mayStandIn = index.allowed(job, ask);
-    List<MachineCapacity> allowed = new ArrayList<>();
-    for (MachineCapacity room : mayPreempt ? rooms.all() : withRoomSoon(spec, ask)) {
-      if ((mayPreempt || room.fitsSoon(spec))
-          && mayStandIn.test(room)
-          && !keep.spoils(spec, room)) {
-        allowed.add(room);
+    Predicate<MachineCapacity> isAllowed = index.allowed(job, request);
+    List<MachineCapacity> eligible = new ArrayList<>();
+    for (MachineCapacity machine :
+        mayPreempt ? clusterCapacity.all() : releasingMachines(spec, request)) {
+      if ((mayPreempt || machine.fitsAfterReleases(spec))
+          && isAllowed.test(machine)
+          && !reservation.strandsAccelerators(spec, machine)) {
+        eligible.add(machine);
       }
     }
-    return allowed;
+    return eligible;
   }
 
   /**
-   * Rooms where it may fit once what leaves is gone; for a gang also those where it fits now, since none of
-   * its tasks took any. For others these were looked at already.
+   * Machines where a task may fit once the tasks being stopped have ended. For a gang, machines
+   * where a task fits now are included, since none of the gang's tasks has been placed on them. For
+   * other jobs the machines that fit now have been tried already.
    */
-  private Collection<MachineCapacity> withRoomSoon(JobSpec spec, ResourceRequest ask) {
+  private Collection<MachineCapacity> releasingMachines(JobSpec spec, ResourceRequest request) {
     if (spec.shape() != JobKind.GANG) {
-      return rooms.leaving().values();
+      return clusterCapacity.releasing().values();
     }
-    TreeMap<String, MachineCapacity> both = new TreeMap<>(rooms.leaving());
-    index.fitting(ask).forEach(room -> both.put(room.machine.name(), room));
-    return both.values();
+    TreeMap<String, MachineCapacity> machines = new TreeMap<>(clusterCapacity.releasing());
+    index.fitting(request).forEach(machine -> machines.put(machine.state.name(), machine));
+    return machines.values();
   }
 }
--- a/src/main/java/io/tansystack/schedule/ClusterCapacity.java
+++ b/src/main/java/io/tansystack/schedule/ClusterCapacity.java
@@ -19,266 +19,293 @@
 import java.util.TreeSet;
 
 /**
- * The rooms of all machines and what the teams use, kept from pass to pass and brought up to date by
- * what changed: a pass costs what has changed since the last one and not what there is. A pass over
- * rooms that were kept gives the same plan as one over rooms that were made anew.
+ * The capacity of all machines and the usage of all teams. It is kept between scheduling passes and
+ * updated incrementally, so that the cost of preparing a pass depends on the number of changes
+ * since the last pass and not on the size of the cluster. A pass over capacity that was updated
+ * incrementally gives the same plan as one over capacity that was built from scratch.
  */
 public final class ClusterCapacity {
-  /** All rooms, in the order of the machines' names. */
-  private final TreeMap<String, MachineCapacity> rooms = new TreeMap<>();
+  /** All machines, in the order of their names. */
+  private final TreeMap<String, MachineCapacity> sortedByName = new TreeMap<>();
 
-  private final Map<String, MachineCapacity> index = new HashMap<>();
+  private final Map<String, MachineCapacity> byName = new HashMap<>();
 
-  /** Rooms in which CPUs are free, and rooms in which something is about to leave. */
-  private final TreeMap<String, MachineCapacity> free = new TreeMap<>();
+  /** Machines that have free CPUs. */
+  private final TreeMap<String, MachineCapacity> withFreeCpus = new TreeMap<>();
 
-  private final TreeMap<String, MachineCapacity> leaving = new TreeMap<>();
+  /** Machines with tasks that are being stopped. */
+  private final TreeMap<String, MachineCapacity> releasing = new TreeMap<>();
 
-  /** What is recorded on each machine, also on those that are not known yet, by arrival of the jobs. */
-  private final Map<String, List<AllocatedTasks>> recorded = new HashMap<>();
+  /**
+   * Tasks that are recorded on each machine, in the order in which their jobs were submitted.
+   * Includes machines that are named by placements but not known yet.
+   */
+  private final Map<String, List<AllocatedTasks>> allocatedByMachine = new HashMap<>();
 
-  private final Map<MachineOffering, Integer> kinds = new HashMap<>();
-  private final List<MachineOffering> kindList = new ArrayList<>();
+  /** Each offering's position in {@link #offerings}. */
+  private final Map<MachineOffering, Integer> offeringNumbers = new HashMap<>();
+  private final List<MachineOffering> offerings = new ArrayList<>();
   private final Set<String> zones = new TreeSet<>();
-  private final Map<Integer, Integer> machinesOfKind = new TreeMap<>();
-  private final Map<Integer, MachineType> typeOfKind = new HashMap<>();
+  /** Number of machines by offering number. */
+  private final Map<Integer, Integer> machinesByOffering = new TreeMap<>();
+  private final Map<Integer, MachineType> typeByOffering = new HashMap<>();
 
-  /** Machines on which something else is recorded than their rooms show. */
+  /**
+   * Machines whose {@link MachineCapacity} differs from the records; reset before the next pass.
+   */
   private final Set<String> stale = new HashSet<>();
 
-  /** Rooms that the pass under way, or the last one, has changed; one for each change. */
+  /** Machines that the current or the last pass has changed, one entry for each change. */
   private final List<MachineCapacity> changes = new ArrayList<>();
 
-  private final RecordedTeamUsage teams = new RecordedTeamUsage();
-  private int replicasLeaving;
+  private final RecordedTeamUsage teamUsage = new RecordedTeamUsage();
+  private int stoppingReplicas;
 
-  /** Rooms of a cluster of which nothing was kept. */
+  /** Builds the capacity of a cluster from scratch. */
   public static ClusterCapacity of(Collection<MachineState> machines, Collection<JobState> jobs) {
-    ClusterCapacity rooms = new ClusterCapacity();
-    machines.forEach(rooms::machine);
-    jobs.forEach(job -> rooms.job(null, job.record()));
-    return rooms;
+    ClusterCapacity capacity = new ClusterCapacity();
+    machines.forEach(capacity::updateMachine);
+    jobs.forEach(job -> capacity.updateJob(null, job.record()));
+    return capacity;
   }
 
-  /** A machine is there, or is other than it was. */
-  public void machine(MachineState state) {
-    MachineCapacity room = index.get(state.name());
-    int kind = kind(new MachineOffering(state.type().name(), state.zone(), state.spot()));
-    if (room != null && (room.kind != kind || !room.machine.type().equals(state.type()))) {
-      remove(state.name());
-      room = null;
+  /** Adds a machine, or updates its state. */
+  public void updateMachine(MachineState state) {
+    MachineCapacity machine = byName.get(state.name());
+    int offeringNumber =
+        numberOf(new MachineOffering(state.type().name(), state.zone(), state.spot()));
+    if (machine != null
+        && (machine.offeringNumber != offeringNumber
+            || !machine.state.type().equals(state.type()))) {
+      removeMachine(state.name());
+      machine = null;
     }
-    if (room == null) {
-      room = new MachineCapacity(state, kind, changes);
-      rooms.put(state.name(), room);
-      index.put(state.name(), room);
-      machinesOfKind.merge(kind, 1, Integer::sum);
-      typeOfKind.put(kind, state.type());
+    if (machine == null) {
+      machine = new MachineCapacity(state, offeringNumber, changes);
+      sortedByName.put(state.name(), machine);
+      byName.put(state.name(), machine);
+      machinesByOffering.merge(offeringNumber, 1, Integer::sum);
+      typeByOffering.put(offeringNumber, state.type());
     }
-    room.machine = state;
+    machine.state = state;
     stale.add(state.name());
   }
 
-  /** The machine is gone, or nothing is known of it any more. */
-  public void remove(String name) {
-    MachineCapacity room = index.remove(name);
-    if (room != null) {
-      rooms.remove(name);
-      free.remove(name);
-      leaving.remove(name);
-      machinesOfKind.merge(room.kind, -1, Integer::sum);
+  /** Removes a machine that is gone or not known any more; tasks recorded on it are kept. */
+  public void removeMachine(String name) {
+    MachineCapacity machine = byName.remove(name);
+    if (machine != null) {
+      sortedByName.remove(name);
+      withFreeCpus.remove(name);
+      releasing.remove(name);
+      machinesByOffering.merge(machine.offeringNumber, -1, Integer::sum);
     }
   }
 
-  private int kind(MachineOffering kind) {
-    Integer known = kinds.get(kind);
-    if (known == null) {
-      known = kindList.size();
-      kinds.put(kind, known);
-      kindList.add(kind);
-      zones.add(kind.zone());
+  private int numberOf(MachineOffering offering) {
+    Integer number = offeringNumbers.get(offering);
+    if (number == null) {
+      number = offerings.size();
+      offeringNumbers.put(offering, number);
+      offerings.add(offering);
+      zones.add(offering.zone());
     }
-    return known;
+    return number;
   }
 
-  /** A job's record is another one than before; null stands for none. */
-  public void job(JobRecord before, JobRecord after) {
+  /** Replaces a job's record; null stands for no record. */
+  public void updateJob(JobRecord before, JobRecord after) {
     if (before == after) {
       return;
     }
     if (before != null && before.spec() != null) {
-      forget(before);
-      teams.subtract(before);
-      replicasLeaving -= leavingReplicas(before);
+      removeTasks(before);
+      teamUsage.subtract(before);
+      stoppingReplicas -= countStoppingReplicas(before);
     }
     if (after != null && after.spec() != null) {
-      after.placements().forEach(placement -> add(AllocatedTasks.of(after, placement)));
-      teams.add(after);
-      replicasLeaving += leavingReplicas(after);
+      after.placements().forEach(placement -> addTasks(AllocatedTasks.of(after, placement)));
+      teamUsage.add(after);
+      stoppingReplicas += countStoppingReplicas(after);
     }
   }
 
-  private static int leavingReplicas(JobRecord record) {
-    int leaving = 0;
+  private static int countStoppingReplicas(JobRecord record) {
+    int stopping = 0;
     for (Placement placement : record.placements()) {
-      AllocatedTasks held = AllocatedTasks.of(record, placement);
-      leaving += held.active() && held.isService() && held.isReleasing() ? held.taskCount() : 0;
+      AllocatedTasks allocated = AllocatedTasks.of(record, placement);
+      stopping +=
+          allocated.active() && allocated.isService() && allocated.isReleasing()
+              ? allocated.taskCount()
+              : 0;
     }
-    return leaving;
+    return stopping;
   }
 
-  private void forget(JobRecord record) {
+  private void removeTasks(JobRecord record) {
     String id = record.spec().id();
     for (Placement placement : record.placements()) {
-      List<AllocatedTasks> on = recorded.get(placement.machine());
-      if (on == null) {
-        continue; // Another placement of the job was there too.
+      List<AllocatedTasks> onMachine = allocatedByMachine.get(placement.machine());
+      if (onMachine == null) {
+        continue; // Already removed with another placement of the job on this machine.
       }
-      on.removeIf(held -> held.job().equals(id));
-      if (on.isEmpty()) {
-        recorded.remove(placement.machine());
+      onMachine.removeIf(allocated -> allocated.job().equals(id));
+      if (onMachine.isEmpty()) {
+        allocatedByMachine.remove(placement.machine());
       }
       stale.add(placement.machine());
     }
   }
 
-  private void add(AllocatedTasks held) {
-    String machine = held.placement().machine();
-    List<AllocatedTasks> on = recorded.computeIfAbsent(machine, k -> new ArrayList<>(4));
-    int at = on.size();
-    while (at > 0 && arrivedLater(on.get(at - 1), held)) {
-      at--;
+  private void addTasks(AllocatedTasks allocated) {
+    String machine = allocated.placement().machine();
+    List<AllocatedTasks> onMachine =
+        allocatedByMachine.computeIfAbsent(machine, k -> new ArrayList<>(4));
+    int position = onMachine.size();
+    while (position > 0 && submittedLater(onMachine.get(position - 1), allocated)) {
+      position--;
     }
-    on.add(at, held);
+    onMachine.add(position, allocated);
     stale.add(machine);
   }
 
-  private static boolean arrivedLater(AllocatedTasks one, AllocatedTasks other) {
+  private static boolean submittedLater(AllocatedTasks one, AllocatedTasks other) {
     return one.submittedMs() != other.submittedMs()
         ? one.submittedMs() > other.submittedMs()
         : one.job().compareTo(other.job()) > 0;
   }
 
-  /** Forgets everything. */
+  /** Removes all machines, tasks and usage. */
   public void clear() {
-    rooms.clear();
-    index.clear();
-    free.clear();
-    leaving.clear();
-    recorded.clear();
-    kinds.clear();
-    kindList.clear();
+    sortedByName.clear();
+    byName.clear();
+    withFreeCpus.clear();
+    releasing.clear();
+    allocatedByMachine.clear();
+    offeringNumbers.clear();
+    offerings.clear();
     zones.clear();
-    machinesOfKind.clear();
-    typeOfKind.clear();
+    machinesByOffering.clear();
+    typeByOffering.clear();
     stale.clear();
     changes.clear();
-    teams.clear();
-    replicasLeaving = 0;
+    teamUsage.clear();
+    stoppingReplicas = 0;
   }
 
-  /** Before a pass: what the last one took is given back, and what changed since is taken in. */
+  /**
+   * Prepares for a pass: undoes the reservations of the last pass and applies the changes since
+   * then.
+   */
   void beginPass() {
-    for (MachineCapacity room : changes) {
-      stale.add(room.machine.name());
+    for (MachineCapacity machine : changes) {
+      stale.add(machine.state.name());
     }
     changes.clear();
     for (String name : stale) {
-      MachineCapacity room = index.get(name);
-      if (room != null) {
-        room.reset(room.machine, recorded.getOrDefault(name, List.of()));
-        keep(free, room, room.hasFreeCpus());
-        keep(leaving, room, room.leavesSoon());
+      MachineCapacity machine = byName.get(name);
+      if (machine != null) {
+        machine.reset(machine.state, allocatedByMachine.getOrDefault(name, List.of()));
+        putOrRemove(withFreeCpus, machine, machine.hasFreeCpus());
+        putOrRemove(releasing, machine, machine.isReleasing());
       }
     }
     stale.clear();
   }
 
-  private static void keep(Map<String, MachineCapacity> map, MachineCapacity room, boolean in) {
-    if (in) {
-      map.put(room.machine.name(), room);
+  private static void putOrRemove(
+      Map<String, MachineCapacity> map, MachineCapacity machine, boolean include) {
+    if (include) {
+      map.put(machine.state.name(), machine);
     } else {
-      map.remove(room.machine.name());
+      map.remove(machine.state.name());
     }
   }
 
-  /** Null for a machine that is not known. */
+  /** Returns null for a machine that is not known. */
   MachineCapacity get(String machine) {
-    return index.get(machine);
+    return byName.get(machine);
   }
 
   int size() {
-    return rooms.size();
+    return sortedByName.size();
   }
 
-  /** In the order of names. */
+  /** All machines, in the order of their names. */
   Collection<MachineCapacity> all() {
-    return rooms.values();
+    return sortedByName.values();
   }
 
-  /** Rooms in which CPUs were free at the beginning of the pass, in the order of names. */
-  Collection<MachineCapacity> free() {
-    return free.values();
+  /** Machines that had free CPUs at the beginning of the pass, in the order of their names. */
+  Collection<MachineCapacity> withFreeCpus() {
+    return withFreeCpus.values();
   }
 
-  /** Rooms in which something is about to leave; a pass adds what it stops. */
-  Map<String, MachineCapacity> leaving() {
-    return leaving;
+  /**
+   * Machines with tasks that are being stopped, by name. The returned map is live: a pass adds the
+   * machines on which it stops tasks.
+   */
+  Map<String, MachineCapacity> releasing() {
+    return releasing;
   }
 
-  /** Rooms that this pass has changed, one for each change, in their order. */
+  /** Machines that this pass has changed: one entry for each change, in the order of changes. */
   List<MachineCapacity> changes() {
     return Collections.unmodifiableList(changes);
   }
 
-  /** Names of all zones in which there are machines, or were. */
+  /** Names of all zones that have or had machines. */
   Set<String> zones() {
     return Collections.unmodifiableSet(zones);
   }
 
-  List<MachineOffering> kinds() {
-    return Collections.unmodifiableList(kindList);
+  /** All offerings of which there are or were machines; the index is the offering number. */
+  List<MachineOffering> offerings() {
+    return Collections.unmodifiableList(offerings);
   }
 
-  /** CPUs of all machines together. */
-  double cpus() {
+  /** Sum of the CPUs of all machines, whether free or not. */
+  double totalCpus() {
     double sum = 0;
-    for (Map.Entry<Integer, Integer> entry : machinesOfKind.entrySet()) {
-      sum += entry.getValue() * typeOfKind.get(entry.getKey()).cpus();
+    for (Map.Entry<Integer, Integer> entry : machinesByOffering.entrySet()) {
+      sum += entry.getValue() * typeByOffering.get(entry.getKey()).cpus();
     }
     return sum;
   }
 
-  /** The most tasks of a job that one of the machines could hold if it were empty; 0 for no machine. */
-  int mostOnOne(JobSpec spec) {
-    int most = 0;
-    for (Map.Entry<Integer, Integer> entry : machinesOfKind.entrySet()) {
-      MachineOffering kind = kindList.get(entry.getKey());
-      if (entry.getValue() > 0 && spec.allows(kind.type(), kind.zone(), kind.spot())) {
-        most = Math.max(most, typeOfKind.get(entry.getKey()).capacityFor(spec));
+  /**
+   * The largest number of the job's tasks that one of the machines could run if it were empty; 0 if
+   * no machine could run any.
+   */
+  int maxTasksPerMachine(JobSpec spec) {
+    int max = 0;
+    for (Map.Entry<Integer, Integer> entry : machinesByOffering.entrySet()) {
+      MachineOffering offering = offerings.get(entry.getKey());
+      if (entry.getValue() > 0 && spec.allows(offering.type(), offering.zone(), offering.spot())) {
+        max = Math.max(max, typeByOffering.get(entry.getKey()).capacityFor(spec));
       }
     }
-    return most;
+    return max;
   }
 
-  RecordedTeamUsage teams() {
-    return teams;
+  RecordedTeamUsage teamUsage() {
+    return teamUsage;
   }
 
-  /** Replicas that are being stopped; they come back elsewhere. */
-  int replicasLeaving() {
-    return replicasLeaving;
+  /** Number of service replicas that are being stopped and will be placed again elsewhere. */
+  int stoppingReplicas() {
+    return stoppingReplicas;
   }
 
-  /** The machines as a pass sees them, in the order of names. */
+  /** The states of all machines, in the order of their names. */
   public List<MachineState> machines() {
-    List<MachineState> states = new ArrayList<>(rooms.size());
-    rooms.values().forEach(room -> states.add(room.machine));
+    List<MachineState> states = new ArrayList<>(sortedByName.size());
+    sortedByName.values().forEach(machine -> states.add(machine.state));
     return states;
   }
 
   /** Names of all machines. */
-  public Set<String> names() {
-    return Collections.unmodifiableSet(index.keySet());
+  public Set<String> machineNames() {
+    return Collections.unmodifiableSet(byName.keySet());
   }
 }
--- a/src/main/java/io/tansystack/schedule/Consolidation.java
+++ b/src/main/java/io/tansystack/schedule/Consolidation.java
@@ -15,153 +15,182 @@
 import java.util.function.Predicate;
 
 /**
- * Finds a machine that costs more than its work needs: all that stays on it are replicas for which
- * the other machines have room. Emptying it and giving it back saves its price. Pure.
+ * Finds machines that cost more than their work requires: all the tasks that would stay on them are
+ * replicas that fit on other machines. Draining and returning such a machine saves its price. A
+ * pure function of its arguments.
  */
 public final class Consolidation {
+  /** Tolerance of comparisons, so that rounding errors of sums don't decide. */
+  private static final double EPS = 1e-6;
+
   private Consolidation() {}
 
-  private static final class Free {
-    final MachineState machine;
-    double cpus;
-    double gpus;
-    double mem;
+  /** A machine's free capacity and its replicas, including those that would move to it. */
+  private static final class FreeCapacity {
+    final MachineState state;
+    double freeCpus;
+    double freeGpus;
+    double freeMemGb;
+
+    /** The service of each replica, one entry for each replica. */
     final List<JobSpec> replicas = new ArrayList<>();
+
+    /** Whether it runs tasks that can't be moved, so that it can't be drained. */
     boolean pinned;
-    boolean emptied;
 
-    Free(MachineState machine) {
-      this.machine = machine;
-      cpus = machine.type().cpus();
-      gpus = machine.type().gpus();
-      mem = machine.type().memGb();
+    /** Whether it has been selected to be drained. */
+    boolean drained;
+
+    FreeCapacity(MachineState state) {
+      this.state = state;
+      freeCpus = state.type().cpus();
+      freeGpus = state.type().gpus();
+      freeMemGb = state.type().memGb();
     }
 
-    boolean fits(JobSpec s) {
-      return cpus + 1e-6 >= s.cpus() && gpus + 1e-6 >= s.gpus() && mem + 1e-6 >= s.memGb();
+    boolean fits(JobSpec spec) {
+      return freeCpus + EPS >= spec.cpus()
+          && freeGpus + EPS >= spec.gpus()
+          && freeMemGb + EPS >= spec.memGb();
     }
 
-    void take(JobSpec s, int n) {
-      cpus -= n * s.cpus();
-      gpus -= n * s.gpus();
-      mem -= n * s.memGb();
+    void reserve(JobSpec spec, int n) {
+      freeCpus -= n * spec.cpus();
+      freeGpus -= n * spec.gpus();
+      freeMemGb -= n * spec.memGb();
     }
 
     double price() {
-      return machine.spot() ? machine.type().spotPrice() : machine.type().price();
+      return state.spot() ? state.type().spotPrice() : state.type().price();
     }
   }
 
   /**
-   * The most expensive machines that can be emptied at the same time.
+   * Selects the most expensive machines that can be drained at the same time.
    *
-   * @param mayEmpty machines that are not wanted warm
-   * @param spare how many more tasks of the largest service must find room afterwards, so that the
-   *     next arrivals need not wait for a machine to boot
-   * @param most so many at the most are emptied at a time, with those that are being emptied already
+   * @param mayDrain accepts machines that need not be kept idle as spare capacity
+   * @param spareReplicas how many more replicas of the largest service must fit afterwards, so that
+   *     replicas of the next jobs need not wait for a machine to boot
+   * @param maxDraining maximum number of machines that drain at a time, including those that are
+   *     draining already
+   * @return names of the machines to drain in addition
    */
-  public static List<String> pick(
-      Snapshot snapshot, Predicate<MachineState> mayEmpty, int spare, int most) {
-    Map<String, Free> rooms = new HashMap<>();
+  public static List<String> selectMachinesToDrain(
+      Snapshot snapshot, Predicate<MachineState> mayDrain, int spareReplicas, int maxDraining) {
+    Map<String, FreeCapacity> byName = new HashMap<>();
     for (MachineState machine : snapshot.machines()) {
-      rooms.put(machine.name(), new Free(machine));
+      byName.put(machine.name(), new FreeCapacity(machine));
     }
-    JobSpec largest = null;
+    JobSpec largestService = null;
     for (JobState job : snapshot.jobs()) {
       JobSpec spec = job.record().spec();
-      for (Placement p : job.record().placements()) {
-        Free room = rooms.get(p.machine());
-        if (room == null) {
+      for (Placement placement : job.record().placements()) {
+        FreeCapacity capacity = byName.get(placement.machine());
+        if (capacity == null) {
           continue;
         }
         if (spec.shape() == JobKind.SERVICE) {
-          room.take(spec, p.tasks().size());
-          for (int i = 0; i < p.tasks().size(); i++) {
-            room.replicas.add(spec);
+          capacity.reserve(spec, placement.tasks().size());
+          for (int i = 0; i < placement.tasks().size(); i++) {
+            capacity.replicas.add(spec);
           }
-          if (largest == null || spec.cpus() > largest.cpus()) {
-            largest = spec;
+          if (largestService == null || spec.cpus() > largestService.cpus()) {
+            largestService = spec;
           }
         } else if (spec.priority() != Priority.LOW) {
-          room.take(spec, p.tasks().size());
-          room.pinned = true;
+          capacity.reserve(spec, placement.tasks().size());
+          capacity.pinned = true;
         }
-        // Short tasks of the lowest priority make way, so their room counts as free.
+        // Tasks of the lowest priority, which are short, give way to replicas, so their capacity
+        // counts as free.
       }
     }
-    List<Free> order = new ArrayList<>(rooms.values());
-    order.sort(
-        Comparator.comparingDouble((Free f) -> -f.price()).thenComparing(f -> f.machine.name()));
-    int emptying = 0;
-    for (Free from : order) {
-      if (from.machine.drain() && !from.replicas.isEmpty()) {
-        emptying++;
-        moveTo(takeElsewhere(from, order, from.replicas), from);
+    List<FreeCapacity> byPrice = new ArrayList<>(byName.values());
+    byPrice.sort(
+        Comparator.comparingDouble((FreeCapacity f) -> -f.price())
+            .thenComparing(f -> f.state.name()));
+    int draining = 0;
+    for (FreeCapacity source : byPrice) {
+      if (source.state.drain() && !source.replicas.isEmpty()) {
+        draining++;
+        addReplicas(reserveElsewhere(source, byPrice, source.replicas), source);
       }
     }
-    List<JobSpec> reserve = Collections.nCopies(spare, largest);
-    List<String> picked = new ArrayList<>();
-    for (Free from : order) {
-      if (emptying + picked.size() >= most) {
+    List<JobSpec> spareTasks = Collections.nCopies(spareReplicas, largestService);
+    List<String> selected = new ArrayList<>();
+    for (FreeCapacity source : byPrice) {
+      if (draining + selected.size() >= maxDraining) {
         break;
       }
-      if (from.pinned
-          || !from.machine.acceptsTasks()
-          || from.replicas.isEmpty()
-          || !mayEmpty.test(from.machine)) {
+      if (source.pinned
+          || !source.state.acceptsTasks()
+          || source.replicas.isEmpty()
+          || !mayDrain.test(source.state)) {
         continue;
       }
-      List<Free> taken = takeElsewhere(from, order, from.replicas);
-      List<Free> kept = taken == null ? null : takeElsewhere(from, order, reserve);
-      if (kept != null) {
-        giveBack(kept, reserve);
-        moveTo(taken, from);
-        from.emptied = true;
-        picked.add(from.machine.name());
-      } else if (taken != null) {
-        giveBack(taken, from.replicas);
+      List<FreeCapacity> targets = reserveElsewhere(source, byPrice, source.replicas);
+      List<FreeCapacity> spareTargets =
+          targets == null ? null : reserveElsewhere(source, byPrice, spareTasks);
+      if (spareTargets != null) {
+        release(spareTargets, spareTasks);
+        addReplicas(targets, source);
+        source.drained = true;
+        selected.add(source.state.name());
+      } else if (targets != null) {
+        release(targets, source.replicas);
       }
     }
-    return picked;
+    return selected;
   }
 
-  /** Takes room for the tasks on other machines; null, and none taken, if there isn't enough. */
-  private static List<Free> takeElsewhere(Free from, List<Free> order, List<JobSpec> tasks) {
-    List<Free> taken = new ArrayList<>();
+  /**
+   * Reserves capacity for the tasks on other machines.
+   *
+   * @return the machine for each task; null, with nothing reserved, if not all tasks fit
+   */
+  private static List<FreeCapacity> reserveElsewhere(
+      FreeCapacity source, List<FreeCapacity> byPrice, List<JobSpec> tasks) {
+    List<FreeCapacity> targets = new ArrayList<>();
     for (JobSpec spec : tasks) {
-      Free target = null;
-      for (Free f : order) {
-        // To a cheaper machine or one that is kept for its other work anyway.
-        if (f != from
-            && !f.emptied
-            && f.fits(spec)
-            && f.machine.acceptsTasks()
-            && (f.price() < from.price() || f.pinned || !f.replicas.isEmpty())
-            && spec.allows(f.machine.type().name(), f.machine.zone(), f.machine.spot())) {
-          target = f;
+      FreeCapacity target = null;
+      for (FreeCapacity candidate : byPrice) {
+        // Only a machine that is cheaper, or one that stays rented for its other tasks anyway.
+        if (candidate != source
+            && !candidate.drained
+            && candidate.fits(spec)
+            && candidate.state.acceptsTasks()
+            && (candidate.price() < source.price()
+                || candidate.pinned
+                || !candidate.replicas.isEmpty())
+            && spec.allows(
+                candidate.state.type().name(), candidate.state.zone(), candidate.state.spot())) {
+          target = candidate;
           break;
         }
       }
       if (target == null) {
-        giveBack(taken, tasks);
+        release(targets, tasks);
         return null;
       }
-      target.take(spec, 1);
-      taken.add(target);
+      target.reserve(spec, 1);
+      targets.add(target);
     }
-    return taken;
+    return targets;
   }
 
-  /** What moves to a machine is in the way when that one is to be emptied too. */
-  private static void moveTo(List<Free> taken, Free from) {
-    for (int i = 0; taken != null && i < taken.size(); i++) {
-      taken.get(i).replicas.add(from.replicas.get(i));
+  /**
+   * Adds the replicas of the source to their targets, so that they have to be moved again if a
+   * target is to be drained too. Does nothing if {@code targets} is null.
+   */
+  private static void addReplicas(List<FreeCapacity> targets, FreeCapacity source) {
+    for (int i = 0; targets != null && i < targets.size(); i++) {
+      targets.get(i).replicas.add(source.replicas.get(i));
     }
   }
 
-  private static void giveBack(List<Free> taken, List<JobSpec> tasks) {
-    for (int i = 0; i < taken.size(); i++) {
-      taken.get(i).take(tasks.get(i), -1);
+  private static void release(List<FreeCapacity> targets, List<JobSpec> tasks) {
+    for (int i = 0; i < targets.size(); i++) {
+      targets.get(i).reserve(tasks.get(i), -1);
     }
   }
 }
--- a/src/main/java/io/tansystack/schedule/MachineCapacity.java
+++ b/src/main/java/io/tansystack/schedule/MachineCapacity.java
@@ -11,128 +11,143 @@
 import java.util.Set;
 
 /**
- * A machine's room and what stands on it. It is kept from pass to pass: a pass takes room of it for
- * what it plans, and {@link #reset} brings it back to what is recorded.
+ * A machine's free capacity and the tasks on it. It is kept between passes: a pass reserves
+ * capacity for what it plans, and {@link #reset} restores the recorded state.
  */
 final class MachineCapacity {
+  /** Tolerance of comparisons, so that rounding errors of sums don't decide. */
   static final double EPS = 1e-6;
 
-  /** The least wanted first: lower priority, then what came last, then what was started last. */
-  private static final Comparator<AllocatedTasks> LEAST_WANTED =
+  /**
+   * Preempted first: lowest priority, then the job submitted last, then the attempt started last.
+   */
+  private static final Comparator<AllocatedTasks> PREEMPTION_ORDER =
       Comparator.comparingInt((AllocatedTasks h) -> -h.priority().ordinal())
           .thenComparingLong(h -> -h.submittedMs())
           .thenComparingLong(h -> -h.placement().attempt());
 
-  /** Number of the machine's kind in the {@link ClusterCapacity} that keep it. */
-  final int kind;
+  /** Index of the machine's offering in {@link ClusterCapacity#offerings}. */
+  final int offeringNumber;
 
   private final List<MachineCapacity> changes;
-  MachineState machine;
-  double cpus;
-  double gpus;
-  double mem;
+  MachineState state;
+  double freeCpus;
+  double freeGpus;
+  double freeMemGb;
 
-  /** Room that stopping tasks are about to leave. */
-  double soonCpus;
+  /** Resources that are still in use by tasks that are being stopped. */
+  double releasingCpus;
 
-  double soonGpus;
-  double soonMem;
+  double releasingGpus;
+  double releasingMemGb;
   private double queuedGb;
-  private Set<String> coming;
-  private final List<AllocatedTasks> held = new ArrayList<>(16);
+  private Set<String> fetching;
+  private final List<AllocatedTasks> allocated = new ArrayList<>(16);
   private boolean sorted = true;
   private int replicas;
 
-  /** What stands here by priority, as cpus, gpus, memory: tells at once where stopping can't help. */
-  private final double[] heldBy = new double[3 * Priority.values().length];
+  /**
+   * Sums of CPUs, GPUs and memory of the tasks that are not being stopped: three entries for each
+   * priority. They show without a look at the tasks where preemption can't help.
+   */
+  private final double[] allocatedByPriority = new double[3 * Priority.values().length];
 
-  /** A machine that nothing stands on, and that nobody keeps. */
-  MachineCapacity(MachineState machine) {
-    this(machine, 0, new ArrayList<>());
+  /** An empty machine that is not part of a {@link ClusterCapacity}. */
+  MachineCapacity(MachineState state) {
+    this(state, 0, new ArrayList<>());
   }
 
-  /** @param changes told of the room each time that a pass changes it */
-  MachineCapacity(MachineState machine, int kind, List<MachineCapacity> changes) {
-    this.kind = kind;
+  /** @param changes list to which this object is added each time that a pass changes it */
+  MachineCapacity(MachineState state, int offeringNumber, List<MachineCapacity> changes) {
+    this.offeringNumber = offeringNumber;
     this.changes = changes;
-    reset(machine, List.of());
-  }
-
-  /** Forgets what was planned: this is the machine, and this is recorded on it. */
-  void reset(MachineState state, List<AllocatedTasks> recorded) {
-    machine = state;
-    cpus = state.type().cpus();
-    gpus = state.type().gpus();
-    mem = state.type().memGb();
-    queuedGb = state.queuedGb();
-    coming = state.fetchingImages();
-    soonCpus = 0;
-    soonGpus = 0;
-    soonMem = 0;
-    held.clear();
+    reset(state, List.of());
+  }
+
+  /** Discards what was planned and sets the machine's state and the tasks recorded on it. */
+  void reset(MachineState newState, List<AllocatedTasks> recorded) {
+    state = newState;
+    freeCpus = newState.type().cpus();
+    freeGpus = newState.type().gpus();
+    freeMemGb = newState.type().memGb();
+    queuedGb = newState.queuedGb();
+    fetching = newState.fetchingImages();
+    releasingCpus = 0;
+    releasingGpus = 0;
+    releasingMemGb = 0;
+    allocated.clear();
     sorted = true;
     replicas = 0;
-    Arrays.fill(heldBy, 0);
+    Arrays.fill(allocatedByPriority, 0);
     for (AllocatedTasks tasks : recorded) {
       subtract(tasks.spec(), tasks.taskCount());
       if (tasks.isReleasing()) {
-        addSoon(tasks.spec(), tasks.taskCount());
+        addReleasing(tasks.spec(), tasks.taskCount());
       } else {
-        held.add(tasks);
-        addHeld(tasks, tasks.taskCount());
+        allocated.add(tasks);
+        updateTotals(tasks, tasks.taskCount());
       }
     }
-    sorted = held.size() < 2;
+    sorted = allocated.size() < 2;
   }
 
-  /** Whether CPUs are free, which nearly all tasks need. */
+  /** Whether the machine has free CPUs, which nearly all tasks need. */
   boolean hasFreeCpus() {
-    return cpus > EPS;
+    return freeCpus > EPS;
   }
 
-  /** Whether something here is about to leave. */
-  boolean leavesSoon() {
-    return soonCpus > 0 || soonGpus > 0 || soonMem > 0;
+  /** Whether tasks on the machine are being stopped. */
+  boolean isReleasing() {
+    return releasingCpus > 0 || releasingGpus > 0 || releasingMemGb > 0;
   }
 
-  int fits(JobSpec s) {
-    return count(s, cpus, gpus, mem);
+  /** How many tasks of the job fit into the free capacity. */
+  int fits(JobSpec spec) {
+    return countFitting(spec, freeCpus, freeGpus, freeMemGb);
   }
 
-  int fits(ResourceRequest ask) {
-    return count(ask.cpus(), ask.gpus(), ask.memGb(), cpus, gpus, mem);
+  /** How many tasks with this request fit into the free capacity. */
+  int fits(ResourceRequest request) {
+    return countFitting(
+        request.cpus(), request.gpus(), request.memGb(), freeCpus, freeGpus, freeMemGb);
   }
 
-  /** The same as {@code fits(s) > 0}, asked for every machine and job. */
-  boolean fitsOne(JobSpec s) {
-    return s.cpus() <= cpus + EPS && s.gpus() <= gpus + EPS && s.memGb() <= mem + EPS && sound();
+  /** Equivalent to {@code fits(spec) > 0}, but cheaper: called for every machine and job. */
+  boolean fitsOne(JobSpec spec) {
+    return spec.cpus() <= freeCpus + EPS
+        && spec.gpus() <= freeGpus + EPS
+        && spec.memGb() <= freeMemGb + EPS
+        && isNotOvercommitted();
   }
 
-  boolean fitsOne(ResourceRequest ask) {
-    return ask.cpus() <= cpus + EPS
-        && ask.gpus() <= gpus + EPS
-        && ask.memGb() <= mem + EPS
-        && sound();
+  /** Equivalent to {@code fits(request) > 0}, but cheaper. */
+  boolean fitsOne(ResourceRequest request) {
+    return request.cpus() <= freeCpus + EPS
+        && request.gpus() <= freeGpus + EPS
+        && request.memGb() <= freeMemGb + EPS
+        && isNotOvercommitted();
   }
 
-  boolean fitsSoon(JobSpec s) {
-    return s.cpus() <= cpus + soonCpus + EPS
-        && s.gpus() <= gpus + soonGpus + EPS
-        && s.memGb() <= mem + soonMem + EPS;
+  /** Whether a task of the job fits once all tasks that are being stopped have ended. */
+  boolean fitsAfterReleases(JobSpec spec) {
+    return spec.cpus() <= freeCpus + releasingCpus + EPS
+        && spec.gpus() <= freeGpus + releasingGpus + EPS
+        && spec.memGb() <= freeMemGb + releasingMemGb + EPS;
   }
 
-  /** A machine on which more is recorded than it has takes nothing, not even what asks for nothing. */
-  private boolean sound() {
-    return cpus >= -EPS && gpus >= -EPS && mem >= -EPS;
+  /** An overcommitted machine accepts no tasks, not even those that request no resources. */
+  private boolean isNotOvercommitted() {
+    return freeCpus >= -EPS && freeGpus >= -EPS && freeMemGb >= -EPS;
   }
 
-  static int count(JobSpec s, double cpus, double gpus, double mem) {
-    return count(s.cpus(), s.gpus(), s.memGb(), cpus, gpus, mem);
+  /** How many tasks of the job fit into these free CPUs, GPUs and memory; 0 if one is negative. */
+  static int countFitting(JobSpec spec, double cpus, double gpus, double memGb) {
+    return countFitting(spec.cpus(), spec.gpus(), spec.memGb(), cpus, gpus, memGb);
   }
 
-  private static int count(
-      double cpusEach, double gpusEach, double memEach, double cpus, double gpus, double mem) {
-    if (cpus < -EPS || gpus < -EPS || mem < -EPS) {
+  private static int countFitting(
+      double cpusEach, double gpusEach, double memGbEach, double cpus, double gpus, double memGb) {
+    if (cpus < -EPS || gpus < -EPS || memGb < -EPS) {
       return 0;
     }
     double n = 1e6;
@@ -142,104 +157,117 @@
     if (gpusEach > 0) {
       n = Math.min(n, (gpus + EPS) / gpusEach);
     }
-    if (memEach > 0) {
-      n = Math.min(n, (mem + EPS) / memEach);
+    if (memGbEach > 0) {
+      n = Math.min(n, (memGb + EPS) / memGbEach);
     }
     return (int) n;
   }
 
-  /** Takes room for tasks that are planned here. */
-  void take(JobSpec s, int n) {
-    subtract(s, n);
+  /** Reserves capacity for {@code n} tasks that are planned to run here. */
+  void reserve(JobSpec spec, int n) {
+    subtract(spec, n);
     changes.add(this);
   }
 
-  private void subtract(JobSpec s, int n) {
-    cpus -= n * s.cpus();
-    gpus -= n * s.gpus();
-    mem -= n * s.memGb();
+  private void subtract(JobSpec spec, int n) {
+    freeCpus -= n * spec.cpus();
+    freeGpus -= n * spec.gpus();
+    freeMemGb -= n * spec.memGb();
   }
 
-  /** Takes a task that is being placed now, with its image. */
+  /**
+   * Reserves capacity for a task that is being placed, and adds its image to the images being
+   * fetched unless the machine has it or is fetching it.
+   */
   void place(JobSpec spec) {
-    take(spec, 1);
-    if (!machine.images().contains(spec.image()) && !coming.contains(spec.image())) {
-      coming = new HashSet<>(coming);
-      coming.add(spec.image());
+    reserve(spec, 1);
+    if (!state.images().contains(spec.image()) && !fetching.contains(spec.image())) {
+      fetching = new HashSet<>(fetching);
+      fetching.add(spec.image());
       queuedGb += spec.imageGb();
     }
   }
 
-  /** What was planned to be stopped is about to leave room. */
-  void leaveSoon(JobSpec s, int n) {
-    addSoon(s, n);
+  /** Counts the resources of {@code n} tasks that the pass stops as releasing. */
+  void markReleasing(JobSpec spec, int n) {
+    addReleasing(spec, n);
     changes.add(this);
   }
 
-  private void addSoon(JobSpec s, int n) {
-    soonCpus += n * s.cpus();
-    soonGpus += n * s.gpus();
-    soonMem += n * s.memGb();
+  private void addReleasing(JobSpec spec, int n) {
+    releasingCpus += n * spec.cpus();
+    releasingGpus += n * spec.gpus();
+    releasingMemGb += n * spec.memGb();
   }
 
-  /** Predicted time to delivery in seconds, in whole tenths so that noise does not decide. */
-  double delivery(JobSpec spec) {
-    double fetch;
-    if (machine.images().contains(spec.image())) {
-      fetch = 0;
-    } else if (coming.contains(spec.image())) {
-      fetch = queuedGb / machine.fetchGbPerS();
+  /**
+   * Predicted seconds until a task placed here now completes: image fetch, after the fetches in the
+   * queue, plus scaled run time. Rounded to tenths so that noise does not decide between machines.
+   */
+  double predictedCompletionS(JobSpec spec) {
+    double fetchS;
+    if (state.images().contains(spec.image())) {
+      fetchS = 0;
+    } else if (fetching.contains(spec.image())) {
+      fetchS = queuedGb / state.fetchGbPerS();
     } else {
-      fetch = (queuedGb + spec.imageGb()) / machine.fetchGbPerS();
+      fetchS = (queuedGb + spec.imageGb()) / state.fetchGbPerS();
     }
-    return Math.rint((fetch + spec.estimateS() * machine.slowness()) * 10) / 10;
+    return Math.rint((fetchS + spec.estimateS() * state.slowness()) * 10) / 10;
   }
 
-  void hold(AllocatedTasks tasks) {
-    held.add(tasks);
+  /** Adds tasks without changing the free capacity. */
+  void addAllocated(AllocatedTasks tasks) {
+    allocated.add(tasks);
     sorted = false;
-    addHeld(tasks, tasks.taskCount());
+    updateTotals(tasks, tasks.taskCount());
     changes.add(this);
   }
 
-  void release(AllocatedTasks tasks) {
-    held.remove(tasks);
-    addHeld(tasks, -tasks.taskCount());
+  /** Removes tasks without changing the free capacity. */
+  void removeAllocated(AllocatedTasks tasks) {
+    allocated.remove(tasks);
+    updateTotals(tasks, -tasks.taskCount());
     changes.add(this);
   }
 
-  private void addHeld(AllocatedTasks tasks, int n) {
+  private void updateTotals(AllocatedTasks tasks, int n) {
     JobSpec spec = tasks.spec();
     replicas += tasks.isService() ? n : 0;
-    int at = 3 * spec.priority().ordinal();
-    heldBy[at] += n * spec.cpus();
-    heldBy[at + 1] += n * spec.gpus();
-    heldBy[at + 2] += n * spec.memGb();
+    int offset = 3 * spec.priority().ordinal();
+    allocatedByPriority[offset] += n * spec.cpus();
+    allocatedByPriority[offset + 1] += n * spec.gpus();
+    allocatedByPriority[offset + 2] += n * spec.memGb();
   }
 
-  /** What could be stopped here, the least wanted first. */
-  List<AllocatedTasks> held() {
+  /** Tasks on the machine that are not being stopped, those to be preempted first at the front. */
+  List<AllocatedTasks> allocated() {
     if (!sorted) {
-      held.sort(LEAST_WANTED);
+      allocated.sort(PREEMPTION_ORDER);
       sorted = true;
     }
-    return held;
+    return allocated;
   }
 
-  boolean holdsReplicas() {
+  boolean hasReplicas() {
     return replicas > 0;
   }
 
-  /** Whether the task could fit if all of a lower priority left; without it, stopping is in vain. */
-  boolean fitsWithoutLower(JobSpec s) {
-    double c = cpus + soonCpus;
-    double g = gpus + soonGpus;
-    double m = mem + soonMem;
-    for (int at = 3 * (s.priority().ordinal() + 1); at < heldBy.length; at += 3) {
-      c += heldBy[at];
-      g += heldBy[at + 1];
-      m += heldBy[at + 2];
+  /**
+   * Whether a task of the job would fit if all tasks of lower priority ended. If not, preempting
+   * tasks of lower priority can't help.
+   */
+  boolean fitsWithoutLowerPriority(JobSpec spec) {
+    double cpus = freeCpus + releasingCpus;
+    double gpus = freeGpus + releasingGpus;
+    double memGb = freeMemGb + releasingMemGb;
+    for (int offset = 3 * (spec.priority().ordinal() + 1);
+        offset < allocatedByPriority.length;
+        offset += 3) {
+      cpus += allocatedByPriority[offset];
+      gpus += allocatedByPriority[offset + 1];
+      memGb += allocatedByPriority[offset + 2];
     }
-    return s.cpus() <= c + EPS && s.gpus() <= g + EPS && s.memGb() <= m + EPS;
+    return spec.cpus() <= cpus + EPS && spec.gpus() <= gpus + EPS && spec.memGb() <= memGb + EPS;
   }
 }
--- a/src/main/java/io/tansystack/schedule/Planner.java
+++ b/src/main/java/io/tansystack/schedule/Planner.java
@@ -56,7 +56,7 @@
     this.bounds = bounds;
     this.clusterCapacity = clusterCapacity;
     clusterCapacity.beginPass();
-    this.teamQuotas = new TeamQuotaTracker(snapshot.teams(), clusterCapacity.teams());
+    this.teamQuotas = new TeamQuotaTracker(snapshot.teams(), clusterCapacity.teamUsage());
     this.reservation = new AcceleratorReservation(clusterCapacity, snapshot.booting());
     CapacityIndex index = new CapacityIndex(clusterCapacity);
     this.candidates = new CandidateSelector(clusterCapacity, index, reservation);
@@ -68,10 +68,10 @@
             candidates,
             bounds.recordLimit,
             bounds.maxMachines);
-    Preemption preemption = new Preemption(teamQuotas, plan, clusterCapacity.leaving());
+    Preemption preemption = new Preemption(teamQuotas, plan, clusterCapacity.releasing());
     this.reclaimer =
         new CapacityReclaimer(clusterCapacity, index, reservation, teamQuotas, preemption);
-    this.queueOrder = new JobQueueOrder(clusterCapacity.cpus());
+    this.queueOrder = new JobQueueOrder(clusterCapacity.totalCpus());
   }
 
   /** Plans for the snapshot's jobs on capacity computed from the snapshot alone. */
@@ -92,7 +92,7 @@
     List<JobState> active = new ArrayList<>();
     for (JobState job : snapshot.jobs()) {
       if (placer.fitsOneTransaction(job)) {
-        reservation.count(job);
+        reservation.addJob(job);
       }
       if (job.record().active()) {
         active.add(job);
@@ -107,13 +107,13 @@
     boolean movesPlanned = !snapshot.migrationAllowed();
     for (JobState job : inPlanningOrder(withUnplacedTasks)) {
       if (!movesPlanned && job.record().spec().priority() == Priority.LOW) {
-        moves.run(active, clusterCapacity.replicasLeaving());
+        moves.run(active, clusterCapacity.stoppingReplicas());
         movesPlanned = true;
       }
       planJob(job);
     }
     if (!movesPlanned) {
-      moves.run(active, clusterCapacity.replicasLeaving());
+      moves.run(active, clusterCapacity.stoppingReplicas());
     }
     return plan;
   }
@@ -229,7 +229,7 @@
         (machine, tasks) ->
             assignments.add(
                 new Assignment(
-                    machine, clusterCapacity.get(machine).machine.session(), TaskSet.of(tasks))));
+                    machine, clusterCapacity.get(machine).state.session(), TaskSet.of(tasks))));
     return assignments;
   }
 
@@ -249,12 +249,12 @@
       tasksByZone = ZoneConstraints.tasksByZone(job.record(), clusterCapacity);
       for (Assignment assignment : assignments) {
         tasksByZone.addTo(
-            clusterCapacity.get(assignment.machine()).machine.zone(), assignment.tasks().size());
+            clusterCapacity.get(assignment.machine()).state.zone(), assignment.tasks().size());
       }
     }
     int remaining = 0;
     if (attempted > 0) {
-      remaining = reclaimer.makeRoom(job, attempted, tasksByZone, reclaimer.mayPreempt(job));
+      remaining = reclaimer.reclaim(job, attempted, tasksByZone, reclaimer.mayPreempt(job));
     }
     addUnmet(job, remaining + notAttempted, tasksByZone);
   }
@@ -272,7 +272,7 @@
         ZoneConstraints.tasksByZone(job.record(), clusterCapacity);
     int remaining = placer.takeCapacity(job, tasks, tasksByZone);
     if (remaining > 0) {
-      remaining = reclaimer.makeRoom(job, remaining, tasksByZone, false);
+      remaining = reclaimer.reclaim(job, remaining, tasksByZone, false);
     }
     addUnmet(job, remaining, tasksByZone);
   }
--- a/src/main/java/io/tansystack/schedule/Preemption.java
+++ b/src/main/java/io/tansystack/schedule/Preemption.java
@@ -13,147 +13,181 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** Chooses whom to stop, so that work which may take their place finds room. */
+/** Chooses tasks to preempt for a job that may preempt them, and adds the evictions to the plan. */
 final class Preemption {
-  private static final int ENOUGH = 24;
+  /** Once this many options and two more for each task are found, no more machines are examined. */
+  private static final int MIN_OPTIONS = 24;
 
-  private record Victim(AllocatedTasks held, int tasks) {}
+  /** Some of the tasks of a placement, to be stopped. */
+  private record Victim(AllocatedTasks allocated, int tasks) {}
 
-  /** The least that has to be stopped on a machine for one more task. */
-  private record Offer(MachineCapacity room, List<Victim> victims, double loss, int order) {}
+  /**
+   * The minimum that has to be stopped on a machine for one more task to fit.
+   *
+   * @param loss the weighted cost of stopping the victims
+   * @param order the machine's position among the eligible ones; decides between equal losses
+   */
+  private record PreemptionOption(
+      MachineCapacity machine, List<Victim> victims, double loss, int order) {}
 
-  private final TeamQuotaTracker teams;
+  private final TeamQuotaTracker teamQuotas;
   private final Plan plan;
-  private final Map<String, MachineCapacity> leaving;
+  private final Map<String, MachineCapacity> releasing;
 
-  /** Whether the last call looked at all machines that it was given. */
-  private boolean lookedAtAll;
+  private boolean consideredAll;
 
-  /** @param leaving rooms in which something is about to leave, by machine; those of victims are added */
-  Preemption(TeamQuotaTracker teams, Plan plan, Map<String, MachineCapacity> leaving) {
-    this.teams = teams;
+  /** @param releasing machines with tasks that are being stopped; those of victims are added */
+  Preemption(TeamQuotaTracker teamQuotas, Plan plan, Map<String, MachineCapacity> releasing) {
+    this.teamQuotas = teamQuotas;
     this.plan = plan;
-    this.leaving = leaving;
+    this.releasing = releasing;
   }
 
   /**
-   * Whether the last call to {@link #stopFor} looked at all machines that it was given, so that what it
-   * left can't be helped by stopping anything more.
+   * Whether the last call to {@link #preemptFor} examined all machines that it was given, so that
+   * no further preemption can help the tasks that remained.
    */
-  boolean lookedAtAll() {
-    return lookedAtAll;
+  boolean consideredAll() {
+    return consideredAll;
   }
 
   /**
-   * Stops tasks for those of the job that found no room, where it costs least first. Each machine is
-   * judged once, and again only after something was stopped on it; where there are many to choose
-   * from, not all are looked at. Returns how many tasks are left.
+   * Preempts tasks for the job's tasks that found no capacity, where the loss is least first. Each
+   * machine is examined once, and again only after tasks were stopped on it. If there are many
+   * machines to choose from, not all are examined.
+   *
+   * @param remaining number of tasks that need capacity
+   * @param machines eligible machines
+   * @param zones tasks of the job by zone; those for which capacity is reclaimed are added
+   * @return number of tasks that still have no capacity
    */
-  int stopFor(
-      JobState job, int left, List<MachineCapacity> rooms, Object2IntOpenHashMap<String> zones) {
+  int preemptFor(
+      JobState job,
+      int remaining,
+      List<MachineCapacity> machines,
+      Object2IntOpenHashMap<String> zones) {
     JobSpec spec = job.record().spec();
-    boolean owed = teams.guaranteed(job.id());
-    PriorityQueue<Offer> offers =
-        new PriorityQueue<>(Comparator.comparingDouble(Offer::loss).thenComparingInt(Offer::order));
-    int enough = ENOUGH + 2 * left;
+    boolean guaranteed = teamQuotas.guaranteed(job.id());
+    PriorityQueue<PreemptionOption> options =
+        new PriorityQueue<>(
+            Comparator.comparingDouble(PreemptionOption::loss)
+                .thenComparingInt(PreemptionOption::order));
+    int enoughOptions = MIN_OPTIONS + 2 * remaining;
     int i = 0;
-    for (; i < rooms.size() && offers.size() < enough; i++) {
-      if (owed || rooms.get(i).fitsWithoutLower(spec)) {
-        offer(job, rooms.get(i), i, offers);
+    for (; i < machines.size() && options.size() < enoughOptions; i++) {
+      if (guaranteed || machines.get(i).fitsWithoutLowerPriority(spec)) {
+        addOption(job, machines.get(i), i, options);
       }
     }
-    lookedAtAll = i == rooms.size();
-    while (left > 0 && !offers.isEmpty()) {
-      Offer best = offers.poll();
-      if (!ZoneConstraints.allows(spec, zones, best.room)) {
-        continue; // And it stays so: copies in a zone only grow in number during a pass.
+    consideredAll = i == machines.size();
+    while (remaining > 0 && !options.isEmpty()) {
+      PreemptionOption best = options.poll();
+      if (!ZoneConstraints.allows(spec, zones, best.machine)) {
+        continue; // Not tried again: the job's tasks in a zone only increase during a pass.
       }
       for (Victim victim : best.victims) {
-        stop(best.room, victim, job);
+        stop(best.machine, victim, job);
       }
-      best.room.take(spec, 1);
-      zones.addTo(best.room.machine.zone(), 1);
-      left--;
-      offer(job, best.room, best.order, offers);
+      best.machine.reserve(spec, 1);
+      zones.addTo(best.machine.state.zone(), 1);
+      remaining--;
+      addOption(job, best.machine, best.order, options);
     }
-    return left;
+    return remaining;
   }
 
-  private void offer(JobState job, MachineCapacity room, int order, PriorityQueue<Offer> offers) {
-    List<Victim> victims = victims(job, room);
+  private void addOption(
+      JobState job, MachineCapacity machine, int order, PriorityQueue<PreemptionOption> options) {
+    List<Victim> victims = victims(job, machine);
     if (victims != null) {
-      offers.add(new Offer(room, victims, loss(victims), order));
+      options.add(new PreemptionOption(machine, victims, loss(victims), order));
     }
   }
 
+  /** Weighted by resources (a GPU counts as 10 CPUs), checkpoints and priority. */
   private static double loss(List<Victim> victims) {
     double loss = 0;
-    for (Victim v : victims) {
-      JobSpec s = v.held.spec();
-      // A stopped gang loses all its tasks, a task with checkpoints next to nothing of its work.
-      double weight = s.checkpointS() > 0 ? 0.3 : 1;
-      loss += v.tasks * (s.cpus() + 10 * s.gpus()) * weight * (4 - s.priority().ordinal());
+    for (Victim victim : victims) {
+      JobSpec spec = victim.allocated.spec();
+      // A gang loses all its tasks if one is stopped; a task with checkpoints loses almost no work.
+      double weight = spec.checkpointS() > 0 ? 0.3 : 1;
+      loss +=
+          victim.tasks
+              * (spec.cpus() + 10 * spec.gpus())
+              * weight
+              * (4 - spec.priority().ordinal());
     }
     return loss;
   }
 
-  /** The least wanted tasks on the machine whose end makes room for one task, or null. */
-  private List<Victim> victims(JobState job, MachineCapacity room) {
+  /**
+   * Tasks on the machine, in the order of preemption, without which one task of the job fits; null
+   * if it doesn't fit even without all that may be preempted.
+   */
+  private List<Victim> victims(JobState job, MachineCapacity machine) {
     JobSpec spec = job.record().spec();
-    double cpus = room.cpus + room.soonCpus;
-    double gpus = room.gpus + room.soonGpus;
-    double mem = room.mem + room.soonMem;
+    double cpus = machine.freeCpus + machine.releasingCpus;
+    double gpus = machine.freeGpus + machine.releasingGpus;
+    double memGb = machine.freeMemGb + machine.releasingMemGb;
     List<Victim> victims = new ArrayList<>();
-    for (AllocatedTasks held : room.held()) {
-      if (!preemptible(job, held)) {
+    for (AllocatedTasks allocated : machine.allocated()) {
+      if (!preemptible(job, allocated)) {
         continue;
       }
-      JobSpec s = held.spec();
-      int n = 0;
-      while (n < held.taskCount() && MachineCapacity.count(spec, cpus, gpus, mem) == 0) {
-        cpus += s.cpus();
-        gpus += s.gpus();
-        mem += s.memGb();
-        n++;
+      JobSpec victimSpec = allocated.spec();
+      int count = 0;
+      while (count < allocated.taskCount()
+          && MachineCapacity.countFitting(spec, cpus, gpus, memGb) == 0) {
+        cpus += victimSpec.cpus();
+        gpus += victimSpec.gpus();
+        memGb += victimSpec.memGb();
+        count++;
       }
-      if (n > 0) {
-        victims.add(new Victim(held, n));
+      if (count > 0) {
+        victims.add(new Victim(allocated, count));
       }
-      if (MachineCapacity.count(spec, cpus, gpus, mem) > 0) {
+      if (MachineCapacity.countFitting(spec, cpus, gpus, memGb) > 0) {
         return victims;
       }
     }
     return null;
   }
 
-  /** Lower priority, or another team's work beyond its guarantee for one that is owed its own. */
+  /**
+   * Whether the job may preempt these tasks: they have a lower priority, or run on quota that
+   * another team borrowed while the job is within its own team's guarantee.
+   */
   private boolean preemptible(JobState job, AllocatedTasks victim) {
     JobSpec spec = job.record().spec();
-    JobSpec other = victim.spec();
-    if (spec.gpus() <= 0 && other.gpus() > 0) {
-      return false; // What needs no accelerator does not take one away.
+    JobSpec victimSpec = victim.spec();
+    if (spec.gpus() <= 0 && victimSpec.gpus() > 0) {
+      return false; // Tasks without accelerators don't preempt tasks that use them.
     }
-    return other.priority().ordinal() > spec.priority().ordinal() || teams.mayReclaimFrom(job, victim);
+    return victimSpec.priority().ordinal() > spec.priority().ordinal()
+        || teamQuotas.mayReclaimFrom(job, victim);
   }
 
-  private void stop(MachineCapacity room, Victim victim, JobState forJob) {
-    Placement p = victim.held.placement();
-    BitSet rest = p.tasks().toBits();
+  private void stop(MachineCapacity machine, Victim victim, JobState forJob) {
+    Placement placement = victim.allocated.placement();
+    BitSet remaining = placement.tasks().toBits();
     BitSet tasks = new BitSet();
-    // The last numbers of a placement were started last, as a rule: they lose the least work.
-    for (int t = rest.length() - 1, n = 0; t >= 0 && n < victim.tasks; t = rest.previousSetBit(t)) {
-      tasks.set(t);
-      rest.clear(t);
-      n++;
+    // Tasks with the highest numbers of a placement usually started last, so they lose least work.
+    for (int task = remaining.length() - 1, count = 0;
+        task >= 0 && count < victim.tasks;
+        task = remaining.previousSetBit(task)) {
+      tasks.set(task);
+      remaining.clear(task);
+      count++;
     }
     plan.evictions()
-        .computeIfAbsent(victim.held.job(), k -> new ArrayList<>())
-        .add(new Eviction(room.machine.name(), TaskSet.of(tasks), forJob.id()));
-    room.release(victim.held);
-    if (!rest.isEmpty()) {
-      room.hold(victim.held.withPlacement(p.withTasks(TaskSet.of(rest))));
+        .computeIfAbsent(victim.allocated.job(), k -> new ArrayList<>())
+        .add(new Eviction(machine.state.name(), TaskSet.of(tasks), forJob.id()));
+    machine.removeAllocated(victim.allocated);
+    if (!remaining.isEmpty()) {
+      machine.addAllocated(
+          victim.allocated.withPlacement(placement.withTasks(TaskSet.of(remaining))));
     }
-    room.leaveSoon(victim.held.spec(), tasks.cardinality());
-    leaving.put(room.machine.name(), room);
+    machine.markReleasing(victim.allocated.spec(), tasks.cardinality());
+    releasing.put(machine.state.name(), machine);
   }
 }
--- a/src/main/java/io/tansystack/schedule/RentPlanner.java
+++ b/src/main/java/io/tansystack/schedule/RentPlanner.java
@@ -16,48 +16,62 @@
 import java.util.function.Predicate;
 
 /**
- * Decides what to rent for tasks that found no room: they are first given to machines that are still
- * booting, then to new ones of the kind that is cheapest for each task. Pure.
+ * Decides which machines to rent for tasks that found no capacity. Tasks are first assigned to
+ * pending machines, then to new machines of the offering that is cheapest for each task. A pure
+ * function of its arguments.
  */
 public final class RentPlanner {
-  /** A type in a zone, spot or ordinary. */
+  /** Tolerance of comparisons, so that rounding errors of sums don't decide. */
+  private static final double EPS = 1e-6;
+
+  /** Tolerance of comparisons of prices. */
+  private static final double PRICE_EPS = 1e-9;
+
+  /** Part of a machine's price added for each task that the job has in the zone. */
+  private static final double PRICE_PART_PER_TASK_IN_ZONE = 1e-3;
+
+  /** A machine type in a zone, as spot or on-demand machine. */
   public record MachineOffering(String type, String zone, boolean spot) {}
 
+  /** The free capacity of a pending or new machine. */
   private static final class Bin {
-    final MachineOffering kind;
-    double cpus;
-    double gpus;
-    double mem;
-
-    Bin(MachineOffering kind, MachineType type) {
-      this.kind = kind;
-      cpus = type.cpus();
-      gpus = type.gpus();
-      mem = type.memGb();
+    final MachineOffering offering;
+    double freeCpus;
+    double freeGpus;
+    double freeMemGb;
+
+    Bin(MachineOffering offering, MachineType type) {
+      this.offering = offering;
+      freeCpus = type.cpus();
+      freeGpus = type.gpus();
+      freeMemGb = type.memGb();
     }
 
-    boolean take(JobSpec s) {
-      if (s.cpus() > cpus + 1e-6 || s.gpus() > gpus + 1e-6 || s.memGb() > mem + 1e-6) {
+    /** Reserves capacity for one task; false if it does not fit. */
+    boolean reserve(JobSpec spec) {
+      if (spec.cpus() > freeCpus + EPS
+          || spec.gpus() > freeGpus + EPS
+          || spec.memGb() > freeMemGb + EPS) {
         return false;
       }
-      cpus -= s.cpus();
-      gpus -= s.gpus();
-      mem -= s.memGb();
+      freeCpus -= spec.cpus();
+      freeGpus -= spec.gpus();
+      freeMemGb -= spec.memGb();
       return true;
     }
 
-    void leave(JobSpec s) {
-      cpus += s.cpus();
-      gpus += s.gpus();
-      mem += s.memGb();
+    void release(JobSpec spec) {
+      freeCpus += spec.cpus();
+      freeGpus += spec.gpus();
+      freeMemGb += spec.memGb();
     }
   }
 
   private final Map<String, MachineType> types;
   private final Predicate<MachineOffering> blocked;
   private final OperatorSettings settings;
-  private final Map<String, List<Bin>> bins = new TreeMap<>();
-  private final Map<MachineOffering, Integer> rent = new LinkedHashMap<>();
+  private final Map<String, List<Bin>> binsByZone = new TreeMap<>();
+  private final Map<MachineOffering, Integer> rentals = new LinkedHashMap<>();
 
   private RentPlanner(
       Map<String, MachineType> types,
@@ -69,41 +83,49 @@
   }
 
   /**
-   * @param coming machines rented and not yet of use
-   * @param blocked kinds that were lately refused
+   * Returns the number of machines to rent of each offering.
+   *
+   * @param unmet tasks without capacity, in planning order
+   * @param pending machines that are rented and not usable yet
+   * @param types all machine types by name
+   * @param blocked accepts offerings that the cloud refused recently
    */
   public static Map<MachineOffering, Integer> decide(
       List<UnmetDemand> unmet,
-      List<MachineOffering> coming,
+      List<MachineOffering> pending,
       Map<String, MachineType> types,
       Predicate<MachineOffering> blocked,
       OperatorSettings settings) {
     RentPlanner planner = new RentPlanner(types, blocked, settings);
-    for (MachineOffering kind : coming) {
-      MachineType type = types.get(kind.type());
+    for (MachineOffering offering : pending) {
+      MachineType type = types.get(offering.type());
       if (type != null) {
-        planner.open(new Bin(kind, type));
+        planner.addBin(new Bin(offering, type));
       }
     }
     unmet.forEach(planner::rentFor);
-    return planner.rent;
+    return planner.rentals;
   }
 
-  private void rentFor(UnmetDemand need) {
-    JobSpec spec = need.spec();
-    if (rentFor(spec, need.tasks(), need.tasksByZone()) || spec.shape() != JobKind.GANG) {
+  private void rentFor(UnmetDemand demand) {
+    JobSpec spec = demand.spec();
+    if (rentFor(spec, demand.tasks(), demand.tasksByZone()) || spec.shape() != JobKind.GANG) {
       return;
     }
-    // Nothing of it stands yet: where there is no more to be had beside what has room, it may gather elsewhere.
-    for (Map<String, Integer> zones : elsewhere(spec)) {
-      if (rentFor(spec, spec.tasks(), zones)) {
+    // None of the gang's tasks runs yet. If no machines can be rented for the remaining tasks that
+    // go with the zones where the others found capacity, all of its tasks may go elsewhere.
+    for (Map<String, Integer> tasksByZone : alternativeZones(spec)) {
+      if (rentFor(spec, spec.tasks(), tasksByZone)) {
         return;
       }
     }
   }
 
-  /** Where a gang may begin anew: in any one zone if it stands together, else anywhere. */
-  private List<Map<String, Integer>> elsewhere(JobSpec spec) {
+  /**
+   * Initial task counts by zone with which a gang may be assigned from the start: one alternative
+   * for each zone if all tasks must be in the same zone, else a single one without restriction.
+   */
+  private List<Map<String, Integer>> alternativeZones(JobSpec spec) {
     if (!spec.sameZone()) {
       return List.of(Map.of());
     }
@@ -113,82 +135,94 @@
   }
 
   /**
-   * For tasks of one job. Those of a gang are given machines all together or not at all, so that what it
-   * can't use is left to others.
+   * Assigns tasks of one job to machines and rents what is missing. A gang gets machines for all
+   * its tasks or none, so that other jobs can use capacity that is of no use to it.
    *
-   * @param before the job's other tasks by zone, so that none is rented for in a zone where it may not stand
-   * @return whether there is something for all
+   * @param otherTasks the job's other tasks by zone, so that no machine is rented in a zone where
+   *     the remaining tasks may not run
+   * @return whether all tasks were assigned
    */
-  private boolean rentFor(JobSpec spec, int tasks, Map<String, Integer> before) {
-    Map<String, Integer> zones = new LinkedHashMap<>(before);
-    Object2IntOpenHashMap<String> next = new Object2IntOpenHashMap<>();
-    List<Bin> taken = new ArrayList<>();
+  private boolean rentFor(JobSpec spec, int tasks, Map<String, Integer> otherTasks) {
+    Map<String, Integer> tasksByZone = new LinkedHashMap<>(otherTasks);
+    Object2IntOpenHashMap<String> nextBin = new Object2IntOpenHashMap<>();
+    List<Bin> targets = new ArrayList<>();
     List<Bin> rented = new ArrayList<>();
-    while (taken.size() < tasks) {
-      Bin bin = firstFitting(spec, zones, next);
+    while (targets.size() < tasks) {
+      Bin bin = firstFitting(spec, tasksByZone, nextBin);
       if (bin == null) {
-        MachineOffering kind = cheapest(spec, tasks - taken.size(), zones);
-        if (kind == null) {
+        MachineOffering offering = cheapest(spec, tasks - targets.size(), tasksByZone);
+        if (offering == null) {
           break;
         }
-        bin = new Bin(kind, types.get(kind.type()));
-        bin.take(spec);
-        open(bin);
+        bin = new Bin(offering, types.get(offering.type()));
+        bin.reserve(spec);
+        addBin(bin);
         rented.add(bin);
       }
-      taken.add(bin);
-      zones.merge(bin.kind.zone(), 1, Integer::sum);
+      targets.add(bin);
+      tasksByZone.merge(bin.offering.zone(), 1, Integer::sum);
     }
-    boolean all = taken.size() == tasks;
-    if (all || spec.shape() != JobKind.GANG) {
-      rented.forEach(bin -> rent.merge(bin.kind, 1, Integer::sum));
+    boolean allPlaced = targets.size() == tasks;
+    if (allPlaced || spec.shape() != JobKind.GANG) {
+      rented.forEach(bin -> rentals.merge(bin.offering, 1, Integer::sum));
     } else {
-      taken.forEach(bin -> bin.leave(spec));
-      rented.forEach(bin -> bins.get(bin.kind.zone()).remove(bin));
+      targets.forEach(bin -> bin.release(spec));
+      rented.forEach(bin -> binsByZone.get(bin.offering.zone()).remove(bin));
     }
-    return all;
+    return allPlaced;
   }
 
-  private void open(Bin bin) {
-    bins.computeIfAbsent(bin.kind.zone(), k -> new ArrayList<>()).add(bin);
+  private void addBin(Bin bin) {
+    binsByZone.computeIfAbsent(bin.offering.zone(), k -> new ArrayList<>()).add(bin);
   }
 
-  /** What a task doesn't fit into is passed over for the rest of its job: bins only fill up. */
+  /**
+   * Reserves capacity in the first bin that a task fits into; null if there is none. A bin that a
+   * task does not fit into is skipped for the rest of the job, since bins only fill up.
+   *
+   * @param nextBin first bin to try, by zone
+   */
   private Bin firstFitting(
-      JobSpec spec, Map<String, Integer> zones, Object2IntOpenHashMap<String> next) {
-    for (Map.Entry<String, List<Bin>> zone : bins.entrySet()) {
-      if (!zoneAllowed(spec, zone.getKey(), zones)) {
+      JobSpec spec, Map<String, Integer> tasksByZone, Object2IntOpenHashMap<String> nextBin) {
+    for (Map.Entry<String, List<Bin>> zone : binsByZone.entrySet()) {
+      if (!zoneAllowed(spec, zone.getKey(), tasksByZone)) {
         continue;
       }
-      List<Bin> there = zone.getValue();
-      for (int b = next.getInt(zone.getKey()); b < there.size(); b++) {
-        Bin bin = there.get(b);
-        if (spec.allows(bin.kind.type(), bin.kind.zone(), bin.kind.spot()) && bin.take(spec)) {
-          next.put(zone.getKey(), b);
+      List<Bin> zoneBins = zone.getValue();
+      for (int i = nextBin.getInt(zone.getKey()); i < zoneBins.size(); i++) {
+        Bin bin = zoneBins.get(i);
+        if (spec.allows(bin.offering.type(), bin.offering.zone(), bin.offering.spot())
+            && bin.reserve(spec)) {
+          nextBin.put(zone.getKey(), i);
           return bin;
         }
       }
-      next.put(zone.getKey(), there.size());
+      nextBin.put(zone.getKey(), zoneBins.size());
     }
     return null;
   }
 
-  private static boolean allowed(JobSpec spec, MachineOffering kind, Map<String, Integer> zones) {
-    return spec.allows(kind.type(), kind.zone(), kind.spot())
-        && zoneAllowed(spec, kind.zone(), zones);
+  private static boolean allowed(
+      JobSpec spec, MachineOffering offering, Map<String, Integer> tasksByZone) {
+    return spec.allows(offering.type(), offering.zone(), offering.spot())
+        && zoneAllowed(spec, offering.zone(), tasksByZone);
   }
 
-  private static boolean zoneAllowed(JobSpec spec, String zone, Map<String, Integer> zones) {
-    return zones.getOrDefault(zone, 0) < spec.zoneCap()
-        && !(spec.sameZone() && !zones.isEmpty() && !zones.containsKey(zone));
+  private static boolean zoneAllowed(JobSpec spec, String zone, Map<String, Integer> tasksByZone) {
+    return tasksByZone.getOrDefault(zone, 0) < spec.zoneCap()
+        && !(spec.sameZone() && !tasksByZone.isEmpty() && !tasksByZone.containsKey(zone));
   }
 
-  private MachineOffering cheapest(JobSpec spec, int tasks, Map<String, Integer> zones) {
-    double lowest = Double.MAX_VALUE;
+  /**
+   * The offering with the lowest cost for each task; null if none is allowed, available and within
+   * the price limit of the job's priority.
+   */
+  private MachineOffering cheapest(JobSpec spec, int tasks, Map<String, Integer> tasksByZone) {
+    double lowestPricePerTask = Double.MAX_VALUE;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name()) && type.capacityFor(spec) > 0) {
         double price = spec.spotOk() ? Math.min(type.price(), type.spotPrice()) : type.price();
-        lowest = Math.min(lowest, price / type.capacityFor(spec));
+        lowestPricePerTask = Math.min(lowestPricePerTask, price / type.capacityFor(spec));
       }
     }
     MachineOffering best = null;
@@ -200,19 +234,24 @@
       }
       for (String zone : type.zones()) {
         for (boolean spot : spec.spotOk() ? new boolean[] {true, false} : new boolean[] {false}) {
-          MachineOffering kind = new MachineOffering(type.name(), zone, spot);
-          if (!allowed(spec, kind, zones) || blocked.test(kind)) {
+          MachineOffering offering = new MachineOffering(type.name(), zone, spot);
+          if (!allowed(spec, offering, tasksByZone) || blocked.test(offering)) {
             continue;
           }
           double price = spot ? type.spotPrice() : type.price();
-          if (price / capacity > lowest * settings.priceFactor(spec.priority()) + 1e-9) {
+          if (price / capacity
+              > lowestPricePerTask * settings.priceFactor(spec.priority()) + PRICE_EPS) {
             continue;
           }
-          // A machine larger than the need is paid for as a whole, though others may use the rest.
-          double used = Math.min(capacity, Math.max(tasks, capacity * 0.5));
-          double cost = price / used + zones.getOrDefault(zone, 0) * 1e-3 * price;
+          // A machine that is larger than needed is paid for as a whole, though other jobs may use
+          // the rest: at least half of it counts as used.
+          double usedTasks = Math.min(capacity, Math.max(tasks, capacity * 0.5));
+          // Zones with fewer tasks of the job are preferred slightly.
+          double cost =
+              price / usedTasks
+                  + tasksByZone.getOrDefault(zone, 0) * PRICE_PART_PER_TASK_IN_ZONE * price;
           if (cost < bestCost) {
-            best = kind;
+            best = offering;
             bestCost = cost;
           }
         }
--- a/src/main/java/io/tansystack/schedule/ReplicaMoves.java
+++ b/src/main/java/io/tansystack/schedule/ReplicaMoves.java
@@ -18,46 +18,58 @@
 import java.util.Set;
 
 /**
- * Moves replicas off machines that are to be emptied, and off one machine with accelerators for each
- * job that waits for them in vain. Services run for long, so one bad placement costs for long. A
- * replica is stopped only when room for it is in sight, and a few at a time, so that a service never
- * lacks more than one of its replicas on this account.
+ * Moves replicas off machines that are to be drained, and off one machine with accelerators for
+ * each request that waits for accelerators and finds none. Services run for long, so a bad
+ * placement costs for long. A replica is stopped only when another machine has capacity for it, and
+ * few at a time, so that moves never leave a service with more than one replica missing.
  */
 final class ReplicaMoves {
-  /** So many replicas may move at a time, and one more for so many machines of a large cluster. */
-  private static final int FEW_MOVING = 6;
+  /** The number of replicas that may always move at a time. */
+  private static final int MIN_CONCURRENT_MOVES = 6;
 
-  private static final int MACHINES_A_MOVE = 25;
+  /** In a larger cluster one replica may move at a time for this many machines. */
+  private static final int MACHINES_PER_MOVE = 25;
 
-  /** Where a job's tasks could go, best first. */
+  /** Finds the machines on which a job's tasks fit, best first. */
   interface TargetFinder {
     List<MachineCapacity> of(JobState job);
   }
 
-  private final ClusterCapacity rooms;
-  private final AcceleratorReservation keep;
+  private final ClusterCapacity clusterCapacity;
+  private final AcceleratorReservation reservation;
   private final Plan plan;
-  private final TargetFinder candidates;
+  private final TargetFinder targetFinder;
   private final Map<String, JobState> jobs = new HashMap<>();
-  private final Set<MachineCapacity> clearing = new HashSet<>();
-  private final int maxMoving;
+
+  /** Machines with accelerators that are to be cleared of replicas for waiting jobs. */
+  private final Set<MachineCapacity> machinesToClear = new HashSet<>();
+  private final int maxMoves;
 
   ReplicaMoves(
-      ClusterCapacity rooms, AcceleratorReservation keep, Plan plan, TargetFinder candidates) {
-    this.rooms = rooms;
-    this.keep = keep;
+      ClusterCapacity clusterCapacity,
+      AcceleratorReservation reservation,
+      Plan plan,
+      TargetFinder targetFinder) {
+    this.clusterCapacity = clusterCapacity;
+    this.reservation = reservation;
     this.plan = plan;
-    this.candidates = candidates;
-    this.maxMoving = Math.max(FEW_MOVING, rooms.size() / MACHINES_A_MOVE);
+    this.targetFinder = targetFinder;
+    this.maxMoves = Math.max(MIN_CONCURRENT_MOVES, clusterCapacity.size() / MACHINES_PER_MOVE);
   }
 
+  /**
+   * Adds replica moves to the plan.
+   *
+   * @param active active jobs
+   * @param alreadyMoving number of replicas that are being stopped to be placed elsewhere
+   */
   void run(List<JobState> active, int alreadyMoving) {
     int moving = alreadyMoving;
-    if (moving >= maxMoving) {
+    if (moving >= maxMoves) {
       return;
     }
-    List<MachineCapacity> toEmpty = toEmpty();
-    if (toEmpty.isEmpty()) {
+    List<MachineCapacity> sources = sourceMachines();
+    if (sources.isEmpty()) {
       return;
     }
     for (JobState job : active) {
@@ -65,45 +77,49 @@
         jobs.put(job.id(), job);
       }
     }
-    for (MachineCapacity from : toEmpty) {
-      for (AllocatedTasks held : List.copyOf(from.held())) {
-        JobState job = jobs.get(held.job());
-        if (job != null && movable(job) && move(job, held, from) && ++moving >= maxMoving) {
+    for (MachineCapacity source : sources) {
+      for (AllocatedTasks allocated : List.copyOf(source.allocated())) {
+        JobState job = jobs.get(allocated.job());
+        if (job != null && movable(job) && move(job, allocated, source) && ++moving >= maxMoves) {
           return;
         }
       }
     }
   }
 
-  private List<MachineCapacity> toEmpty() {
+  /** Machines to be drained, then those to be cleared for waiting jobs. */
+  private List<MachineCapacity> sourceMachines() {
     List<MachineCapacity> result = new ArrayList<>();
-    for (MachineCapacity room : rooms.all()) {
-      if (room.machine.drain()) {
-        result.add(room);
+    for (MachineCapacity machine : clusterCapacity.all()) {
+      if (machine.state.drain()) {
+        result.add(machine);
       }
     }
-    Set<ResourceRequest> hopeless = new HashSet<>();
-    for (UnmetDemand need : plan.unmet()) {
-      // No more replicas move at a time than one machine holds, as a rule.
-      if (clearing.size() >= maxMoving || need.spec().gpus() <= 0) {
+    Set<ResourceRequest> unclearable = new HashSet<>();
+    for (UnmetDemand demand : plan.unmet()) {
+      // At most maxMoves replicas move at a time, usually no more than one machine has, so there is
+      // no use in clearing more than maxMoves machines.
+      if (machinesToClear.size() >= maxMoves || demand.spec().gpus() <= 0) {
         continue;
       }
-      ResourceRequest ask = ResourceRequest.of(need.spec());
-      if (hopeless.contains(ask)) {
+      ResourceRequest request = ResourceRequest.of(demand.spec());
+      if (unclearable.contains(request)) {
         continue;
       }
-      MachineCapacity best = clearable(need.spec());
+      MachineCapacity best = findMachineToClear(demand.spec());
       if (best == null) {
-        hopeless.add(ask);
+        unclearable.add(request);
       } else {
-        clearing.add(best);
+        machinesToClear.add(best);
         result.add(best);
       }
     }
     return result;
   }
 
-  /** Only a service whose replicas are all in place may lend one to a move. */
+  /**
+   * Only a service all of whose replicas are placed, with none being stopped, may have one moved.
+   */
   private boolean movable(JobState job) {
     JobRecord record = job.record();
     return job.schedulable()
@@ -113,56 +129,62 @@
         && record.placements().stream().noneMatch(Placement::stop);
   }
 
-  /** The machine on which the fewest replicas stand in the way of the job. */
-  private MachineCapacity clearable(JobSpec need) {
+  /**
+   * The machine on which the fewest replicas without accelerators have to be moved for a task of
+   * the job to fit; null if moving replicas helps on none.
+   */
+  private MachineCapacity findMachineToClear(JobSpec spec) {
     MachineCapacity best = null;
     int fewest = Integer.MAX_VALUE;
-    for (MachineCapacity room : rooms.all()) {
-      MachineState m = room.machine;
-      if (!room.holdsReplicas()
-          || !m.acceptsTasks()
-          || !need.allows(m.type().name(), m.zone(), m.spot())
-          || clearing.contains(room)) {
+    for (MachineCapacity machine : clusterCapacity.all()) {
+      MachineState state = machine.state;
+      if (!machine.hasReplicas()
+          || !state.acceptsTasks()
+          || !spec.allows(state.type().name(), state.zone(), state.spot())
+          || machinesToClear.contains(machine)) {
         continue;
       }
-      double cpus = room.cpus + room.soonCpus;
-      double gpus = room.gpus + room.soonGpus;
-      double mem = room.mem + room.soonMem;
+      double cpus = machine.freeCpus + machine.releasingCpus;
+      double gpus = machine.freeGpus + machine.releasingGpus;
+      double memGb = machine.freeMemGb + machine.releasingMemGb;
       int replicas = 0;
-      for (AllocatedTasks held : room.held()) {
-        JobSpec s = held.spec();
-        int n = held.taskCount();
-        if (held.isService() && s.gpus() <= 0) {
-          cpus += n * s.cpus();
-          mem += n * s.memGb();
-          replicas += n;
+      for (AllocatedTasks allocated : machine.allocated()) {
+        JobSpec replicaSpec = allocated.spec();
+        int tasks = allocated.taskCount();
+        if (allocated.isService() && replicaSpec.gpus() <= 0) {
+          cpus += tasks * replicaSpec.cpus();
+          memGb += tasks * replicaSpec.memGb();
+          replicas += tasks;
         }
       }
-      if (MachineCapacity.count(need, cpus, gpus, mem) > 0 && replicas > 0 && replicas < fewest) {
-        best = room;
+      if (MachineCapacity.countFitting(spec, cpus, gpus, memGb) > 0
+          && replicas > 0
+          && replicas < fewest) {
+        best = machine;
         fewest = replicas;
       }
     }
     return best;
   }
 
-  private boolean move(JobState job, AllocatedTasks held, MachineCapacity from) {
+  /** Plans the move of one replica to another machine; false if no other machine can run it. */
+  private boolean move(JobState job, AllocatedTasks allocated, MachineCapacity source) {
     JobSpec spec = job.record().spec();
-    Object2IntOpenHashMap<String> zones = ZoneConstraints.tasksByZone(job.record(), rooms);
-    zones.addTo(from.machine.zone(), -1);
-    for (MachineCapacity to : candidates.of(job)) {
-      if (to != from
-          && !clearing.contains(to)
-          && !keep.spoils(spec, to)
-          && zones.getInt(to.machine.zone()) < spec.zoneCap()) {
-        to.take(spec, 1);
+    Object2IntOpenHashMap<String> zones = ZoneConstraints.tasksByZone(job.record(), clusterCapacity);
+    zones.addTo(source.state.zone(), -1);
+    for (MachineCapacity target : targetFinder.of(job)) {
+      if (target != source
+          && !machinesToClear.contains(target)
+          && !reservation.strandsAccelerators(spec, target)
+          && zones.getInt(target.state.zone()) < spec.zoneCap()) {
+        target.reserve(spec, 1);
         plan.evictions()
             .computeIfAbsent(job.id(), k -> new ArrayList<>())
             .add(
                 Eviction.move(
-                    from.machine.name(),
-                    TaskSet.EMPTY.with(held.placement().tasks().next(0)),
-                    to.machine.name()));
+                    source.state.name(),
+                    TaskSet.EMPTY.with(allocated.placement().tasks().next(0)),
+                    target.state.name()));
         return true;
       }
     }
--- a/src/main/java/io/tansystack/schedule/ResourceRequest.java
+++ b/src/main/java/io/tansystack/schedule/ResourceRequest.java
@@ -5,8 +5,13 @@
 import java.util.Objects;
 
 /**
- * What a task asks of a machine. Jobs that ask the same are judged once in a pass, and what found no
- * room need not be tried again for a job that asks for more.
+ * The resources that a task requests and the machines that it allows. Jobs with equal requests are
+ * evaluated once in a pass, and a request that could not be satisfied need not be tried again for a
+ * job that requests more.
+ *
+ * @param types allowed machine types; null allows all
+ * @param zone required zone; null allows all
+ * @param spotOk whether spot machines are allowed
  */
 record ResourceRequest(
     double cpus, double gpus, double memGb, List<String> types, String zone, boolean spotOk) {
@@ -16,18 +21,18 @@
         spec.cpus(), spec.gpus(), spec.memGb(), spec.types(), spec.zone(), spec.spotOk());
   }
 
-  // Written out: asks are keys that are looked up for every job, and generated ones cost several
-  // times as much on the first compiler tier.
+  // Written by hand: requests are map keys that are looked up for every job, and the methods that
+  // are generated for records cost several times as much on the JIT's first compilation tier.
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof ResourceRequest ask
-        && cpus == ask.cpus
-        && gpus == ask.gpus
-        && memGb == ask.memGb
-        && spotOk == ask.spotOk
-        && Objects.equals(types, ask.types)
-        && Objects.equals(zone, ask.zone);
+    return other instanceof ResourceRequest request
+        && cpus == request.cpus
+        && gpus == request.gpus
+        && memGb == request.memGb
+        && spotOk == request.spotOk
+        && Objects.equals(types, request.types)
+        && Objects.equals(zone, request.zone);
   }
 
   @Override
@@ -35,20 +40,23 @@
     return (Double.hashCode(cpus) * 31 + Double.hashCode(memGb)) * 31 + Double.hashCode(gpus);
   }
 
-  /** Whether a machine of this kind is allowed. */
+  /** Whether a machine of this type and zone, spot or on-demand, is allowed. */
   boolean allows(String type, String inZone, boolean spot) {
     return (types == null || types.contains(type))
         && (zone == null || zone.equals(inZone))
         && (spotOk || !spot);
   }
 
-  /** Whether it fits only where CPUs are free. */
+  /** Whether the request can be satisfied only by a machine that has free CPUs. */
   boolean needsCpus() {
     return cpus > 2 * MachineCapacity.EPS;
   }
 
-  /** Whether every machine that would do for this would do for the other too. */
-  boolean asksNoLessThan(ResourceRequest other) {
+  /**
+   * Whether this request is at least as demanding as the other: every machine that satisfies this
+   * one satisfies the other too.
+   */
+  boolean isAtLeast(ResourceRequest other) {
     return cpus >= other.cpus
         && gpus >= other.gpus
         && memGb >= other.memGb
--- a/src/main/java/io/tansystack/schedule/ScoredCandidate.java
+++ b/src/main/java/io/tansystack/schedule/ScoredCandidate.java
@@ -35,7 +35,7 @@
     order = order != 0 ? order : Double.compare(price, other.price);
     order = order != 0 ? order : Double.compare(slack, other.slack);
     order = order != 0 ? order : Double.compare(completionS, other.completionS);
-    return order != 0 ? order : machine.machine.name().compareTo(other.machine.machine.name());
+    return order != 0 ? order : machine.state.name().compareTo(other.machine.state.name());
   }
 
   /**
--- a/src/main/java/io/tansystack/schedule/TaskPlacer.java
+++ b/src/main/java/io/tansystack/schedule/TaskPlacer.java
@@ -57,14 +57,14 @@
     if (spec.shape() != JobKind.GANG) {
       return true;
     }
-    int tasksPerMachine = clusterCapacity.mostOnOne(spec);
+    int tasksPerMachine = clusterCapacity.maxTasksPerMachine(spec);
     return tasksPerMachine == 0
         || (long) tasksPerMachine * Math.min(maxMachines, limit.placedAtOnce(spec)) >= spec.tasks();
   }
 
   /** Whether any machine fits one of the job's tasks, also if it is excluded or reserved. */
   boolean mayFitAnywhere(JobState job) {
-    return !index.mayFit(ResourceRequest.of(job.record().spec())).isEmpty();
+    return !index.possiblyFitting(ResourceRequest.of(job.record().spec())).isEmpty();
   }
 
   /** Places as many of the tasks as possible; returns the tasks by the names of their machines. */
@@ -79,7 +79,7 @@
   private static void assign(
       Map<String, BitSet> chosen, MachineCapacity machine, JobSpec spec, int task) {
     machine.place(spec);
-    chosen.computeIfAbsent(machine.machine.name(), k -> new BitSet()).set(task);
+    chosen.computeIfAbsent(machine.state.name(), k -> new BitSet()).set(task);
   }
 
   private Map<String, BitSet> placeAnywhere(JobState job, int[] tasks) {
@@ -91,11 +91,11 @@
     int i = 0;
     for (MachineCapacity machine : found) {
       while (i < tasks.length && machine.fitsOne(spec)) {
-        if (reservation.waitsForComing(spec, machine)) {
+        if (reservation.waitsForBootingMachine(spec, machine)) {
           i++;
           continue;
         }
-        if (chosen.size() >= machineLimit && !chosen.containsKey(machine.machine.name())) {
+        if (chosen.size() >= machineLimit && !chosen.containsKey(machine.state.name())) {
           return chosen;
         }
         assign(chosen, machine, spec, tasks[i++]);
@@ -117,14 +117,14 @@
     Object2IntOpenHashMap<String> nextByZone = new Object2IntOpenHashMap<>();
     for (int task : tasks) {
       MachineCapacity best = bestZone(spec, byZone, tasksByZone, nextByZone);
-      if (best != null && reservation.waitsForComing(spec, best)) {
+      if (best != null && reservation.waitsForBootingMachine(spec, best)) {
         continue;
       }
       if (best == null || chosen.size() >= machineLimit) {
         break;
       }
       assign(chosen, best, spec, task);
-      tasksByZone.addTo(best.machine.zone(), 1);
+      tasksByZone.addTo(best.state.zone(), 1);
     }
     return chosen;
   }
@@ -146,7 +146,7 @@
           && ZoneConstraints.allows(spec, tasksByZone, first)
           && (best == null
               || tasksByZone.getInt(zone.getKey())
-                  < tasksByZone.getInt(best.machine.zone()))) {
+                  < tasksByZone.getInt(best.state.zone()))) {
         best = first;
       }
     }
@@ -211,7 +211,7 @@
     for (List<MachineCapacity> group : groups) {
       List<MachineCapacity> picks = pickMachines(spec, tasks, group);
       double slowestS =
-          picks.stream().mapToDouble(machine -> machine.delivery(spec)).max().orElse(0);
+          picks.stream().mapToDouble(machine -> machine.predictedCompletionS(spec)).max().orElse(0);
       boolean withinLimit = new HashSet<>(picks).size() <= machineLimit;
       if (picks.size() == tasks && withinLimit && slowestS < bestSlowestS) {
         best = picks;
@@ -227,7 +227,7 @@
     List<MachineCapacity> picks = new ArrayList<>();
     Object2IntOpenHashMap<String> tasksByZone = new Object2IntOpenHashMap<>();
     for (MachineCapacity machine : machines) {
-      String zone = machine.machine.zone();
+      String zone = machine.state.zone();
       int fits = machine.fits(spec);
       for (int k = 0; k < fits && picks.size() < tasks; k++) {
         if (tasksByZone.getInt(zone) >= spec.zoneCap()) {
@@ -250,13 +250,13 @@
     JobSpec spec = job.record().spec();
     int remaining = tasks;
     boolean zonesMatter = ZoneConstraints.matterFor(spec);
-    for (MachineCapacity machine : index.mayFit(ResourceRequest.of(spec))) {
+    for (MachineCapacity machine : index.possiblyFitting(ResourceRequest.of(spec))) {
       if (remaining == 0) {
         break;
       }
       if (!machine.fitsOne(spec)
-          || job.excludedMachines().contains(machine.machine.name())
-          || (reservation.spoils(spec, machine) && reservation.keptForOthers(machine))) {
+          || job.excludedMachines().contains(machine.state.name())
+          || (reservation.strandsAccelerators(spec, machine) && reservation.reservedForOthers(machine))) {
         continue;
       }
       int fits = Math.min(remaining, machine.fits(spec));
@@ -264,8 +264,8 @@
         fits = Math.min(fits, ZoneConstraints.remaining(spec, tasksByZone, machine));
       }
       if (fits > 0) {
-        machine.take(spec, fits);
-        tasksByZone.addTo(machine.machine.zone(), fits);
+        machine.reserve(spec, fits);
+        tasksByZone.addTo(machine.state.zone(), fits);
         remaining -= fits;
       }
     }
--- a/src/main/java/io/tansystack/schedule/UnsatisfiableRequests.java
+++ b/src/main/java/io/tansystack/schedule/UnsatisfiableRequests.java
@@ -10,66 +10,77 @@
 import java.util.Map;
 
 /**
- * Asks for which no room could be made in a zone during a pass, though others might have been stopped
- * for them: nor can it for what asks for no less. To compare each of many waiting jobs with all that
- * runs would be most of a pass.
+ * Requests for which no capacity could be reclaimed in a zone during a pass, although preemption
+ * was allowed. No capacity can be reclaimed for requests that are at least as demanding either, so
+ * these are not tried. Comparing each of many waiting jobs with all running tasks would take most
+ * of the time of a pass.
  */
 final class UnsatisfiableRequests {
-  private record Exhausted(ResourceRequest ask, String zone) {
+  /** A request that can't be satisfied in a zone. */
+  private record UnsatisfiableInZone(ResourceRequest request, String zone) {
     boolean covers(ResourceRequest other, String inZone) {
-      return zone.equals(inZone) && other.asksNoLessThan(ask);
+      return zone.equals(inZone) && other.isAtLeast(request);
     }
   }
 
-  private final Map<Priority, List<Exhausted>> byPriority = new EnumMap<>(Priority.class);
+  private final Map<Priority, List<UnsatisfiableInZone>> byPriority = new EnumMap<>(Priority.class);
 
-  /** Of jobs within their team's guarantee, to which others may owe room, by priority and team. */
-  private final Map<String, List<Exhausted>> owed = new HashMap<>();
+  /**
+   * Requests of jobs within their team's guarantee, by priority and team. For these, quota that
+   * other teams borrowed may be reclaimed too.
+   */
+  private final Map<String, List<UnsatisfiableInZone>> byGuaranteedTeam = new HashMap<>();
 
-  private static String owedAs(JobSpec spec) {
+  private static String teamKey(JobSpec spec) {
     return spec.priority() + " " + spec.team();
   }
 
-  /** @param zones in which nothing could be made */
-  void add(ResourceRequest ask, JobSpec spec, boolean guaranteed, Collection<String> zones) {
-    List<Exhausted> list =
+  /** @param zones zones in which no capacity could be reclaimed */
+  void add(ResourceRequest request, JobSpec spec, boolean guaranteed, Collection<String> zones) {
+    List<UnsatisfiableInZone> list =
         guaranteed
-            ? owed.computeIfAbsent(owedAs(spec), k -> new ArrayList<>())
+            ? byGuaranteedTeam.computeIfAbsent(teamKey(spec), k -> new ArrayList<>())
             : byPriority.computeIfAbsent(spec.priority(), k -> new ArrayList<>());
     for (String zone : zones) {
-      if (!covers(list, ask, zone)) {
-        list.add(new Exhausted(ask, zone));
+      if (!covers(list, request, zone)) {
+        list.add(new UnsatisfiableInZone(request, zone));
       }
     }
   }
 
-  /** Whether jobs that could use no less than this one found nothing in any of the zones. */
-  boolean covers(ResourceRequest ask, JobSpec spec, boolean guaranteed, Collection<String> zones) {
+  /**
+   * Whether in each of the zones no capacity was found for a request that is no more demanding, of
+   * a job that may preempt at least as much as this one.
+   */
+  boolean covers(
+      ResourceRequest request, JobSpec spec, boolean guaranteed, Collection<String> zones) {
     for (String zone : zones) {
-      if (!covers(ask, spec, guaranteed, zone)) {
+      if (!covers(request, spec, guaranteed, zone)) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean covers(ResourceRequest ask, JobSpec spec, boolean guaranteed, String zone) {
+  private boolean covers(ResourceRequest request, JobSpec spec, boolean guaranteed, String zone) {
     if (guaranteed) {
-      return covers(owed.getOrDefault(owedAs(spec), List.of()), ask, zone);
+      return covers(byGuaranteedTeam.getOrDefault(teamKey(spec), List.of()), request, zone);
     }
-    // Of lower priority, or not yet allowed to stop others: it could use less than the first one.
-    for (Map.Entry<Priority, List<Exhausted>> entry : byPriority.entrySet()) {
+    // A job of equal or lower priority, or one that may not preempt yet, can't reclaim more than
+    // the job for which the request was recorded.
+    for (Map.Entry<Priority, List<UnsatisfiableInZone>> entry : byPriority.entrySet()) {
       if (entry.getKey().ordinal() <= spec.priority().ordinal()
-          && covers(entry.getValue(), ask, zone)) {
+          && covers(entry.getValue(), request, zone)) {
         return true;
       }
     }
     return false;
   }
 
-  private static boolean covers(List<Exhausted> failed, ResourceRequest ask, String zone) {
-    for (Exhausted exhausted : failed) {
-      if (exhausted.covers(ask, zone)) {
+  private static boolean covers(
+      List<UnsatisfiableInZone> entries, ResourceRequest request, String zone) {
+    for (UnsatisfiableInZone entry : entries) {
+      if (entry.covers(request, zone)) {
         return true;
       }
     }
--- a/src/main/java/io/tansystack/schedule/ZoneConstraints.java
+++ b/src/main/java/io/tansystack/schedule/ZoneConstraints.java
@@ -27,7 +27,7 @@
     for (Placement placement : record.placements()) {
       MachineCapacity machine = clusterCapacity.get(placement.machine());
       if (machine != null) {
-        tasksByZone.addTo(machine.machine.zone(), placement.tasks().size());
+        tasksByZone.addTo(machine.state.zone(), placement.tasks().size());
       }
     }
     return tasksByZone;
@@ -42,7 +42,7 @@
   /** How many more tasks of the job may run in the machine's zone. */
   static int remaining(
       JobSpec spec, Object2IntOpenHashMap<String> tasksByZone, MachineCapacity machine) {
-    return remaining(spec, tasksByZone, machine.machine.zone());
+    return remaining(spec, tasksByZone, machine.state.zone());
   }
 
   /** How many more tasks of the job may run in a zone. */
--- a/src/test/java/io/tansystack/schedule/IncrementalCapacityTest.java
+++ b/src/test/java/io/tansystack/schedule/IncrementalCapacityTest.java
@@ -30,9 +30,11 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Rooms that are kept from pass to pass give the plan that rooms made anew give, after any sequence of
- * changes of machines, records and plans carried out. More seeds by the property
- * {@code tansystack.seeds}, as {@code FROM-TO}.
+ * Guards against a {@link ClusterCapacity} that differs from the records after incremental updates.
+ * After random sequences of changed machines, changed job records and applied plans, a pass over
+ * capacity that was updated incrementally must give the same plan as one over capacity that was
+ * built from scratch. The property {@code tansystack.seeds} sets the range of seeds, as {@code
+ * FROM-TO}.
  */
 class IncrementalCapacityTest {
   private static final int STEPS = 60;
@@ -52,9 +54,9 @@
 
   private final Map<String, MachineState> machines = new TreeMap<>();
   private final Map<String, JobState> jobs = new TreeMap<>();
-  private final ClusterCapacity kept = new ClusterCapacity();
+  private final ClusterCapacity incremental = new ClusterCapacity();
   private Random random;
-  private int made;
+  private int created;
 
   static LongStream seeds() {
     String[] range = System.getProperty("tansystack.seeds", "1-40").split("-");
@@ -63,99 +65,107 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void keptRoomsGiveThePlanThatNewOnesGive(long seed) {
+  void incrementalCapacityGivesSamePlanAsRebuiltOne(long seed) {
     random = new Random(seed);
     int placed = 0;
     for (int step = 0; step < STEPS; step++) {
       int changes = random.nextInt(6);
       for (int i = 0; i <= changes; i++) {
-        change();
+        applyRandomChange();
       }
       Snapshot snapshot = snapshot();
-      Plan anew = Planner.plan(snapshot, BOUNDS);
-      Plan fromKept = Planner.plan(snapshot, kept, BOUNDS);
-      assertEquals(anew, fromKept, "seed " + seed + " step " + step);
-      assertSound(anew);
-      placed += anew.placements().size();
+      Plan expected = Planner.plan(snapshot, BOUNDS);
+      Plan actual = Planner.plan(snapshot, incremental, BOUNDS);
+      assertEquals(expected, actual, "seed " + seed + " step " + step);
+      assertValid(expected);
+      placed += expected.placements().size();
       if (random.nextInt(4) > 0) {
-        carryOut(anew);
+        applyPlan(expected);
       }
     }
     assertTrue(placed > STEPS / 4, "too little was planned to compare: " + placed);
   }
 
-  /** Whatever way the machines were found: all are allowed, none holds too much, and no team uses too much. */
-  private void assertSound(Plan plan) {
-    Map<String, double[]> machineUse = new TreeMap<>();
-    Map<String, double[]> teamUse = new TreeMap<>();
+  /**
+   * Independently of how the planner found the machines: all are open and allowed, none is
+   * overcommitted, and no team exceeds its quota.
+   */
+  private void assertValid(Plan plan) {
+    Map<String, double[]> machineUsage = new TreeMap<>();
+    Map<String, double[]> teamUsage = new TreeMap<>();
     jobs.forEach(
         (id, job) -> {
           JobSpec spec = job.record().spec();
           for (Placement placement : job.record().placements()) {
-            add(machineUse, placement.machine(), spec, placement.tasks().size());
-            add(teamUse, spec.team(), spec, placement.tasks().size());
+            addUsage(machineUsage, placement.machine(), spec, placement.tasks().size());
+            addUsage(teamUsage, spec.team(), spec, placement.tasks().size());
           }
         });
     plan.placements()
         .forEach(
-            (id, round) -> {
+            (id, assignments) -> {
               JobState job = jobs.get(id);
               JobSpec spec = job.record().spec();
-              for (Assignment part : round) {
-                MachineState machine = machines.get(part.machine());
+              for (Assignment assignment : assignments) {
+                MachineState machine = machines.get(assignment.machine());
                 assertTrue(machine.acceptsTasks(), id + " on closed " + machine);
                 assertTrue(
                     spec.allows(machine.type().name(), machine.zone(), machine.spot()),
-                    id + " may not stand on " + machine);
-                assertTrue(!job.excludedMachines().contains(machine.name()), id + " avoids " + machine);
-                double[] use = add(machineUse, machine.name(), spec, part.tasks().size());
+                    id + " may not run on " + machine);
+                assertTrue(!job.excludedMachines().contains(machine.name()), id + " excludes " + machine);
+                double[] usage =
+                    addUsage(machineUsage, machine.name(), spec, assignment.tasks().size());
                 MachineType type = machine.type();
                 boolean fits =
-                    use[0] <= type.cpus() + 1e-3
-                        && use[1] <= type.gpus() + 1e-3
-                        && use[2] <= type.memGb() + 1e-3;
+                    usage[0] <= type.cpus() + 1e-3
+                        && usage[1] <= type.gpus() + 1e-3
+                        && usage[2] <= type.memGb() + 1e-3;
                 assertTrue(fits, id + " does not fit on " + machine);
-                double[] ofTeam = add(teamUse, spec.team(), spec, part.tasks().size());
+                double[] ofTeam =
+                    addUsage(teamUsage, spec.team(), spec, assignment.tasks().size());
                 Team team = TEAMS.get(spec.team());
                 boolean overCpus = team.cpusMax() > 0 && ofTeam[0] > team.cpusMax() + 1e-3;
                 boolean overGpus = team.gpusMax() > 0 && ofTeam[1] > team.gpusMax() + 1e-3;
                 assertTrue(
                     !(overCpus && spec.cpus() > 0) && !(overGpus && spec.gpus() > 0),
-                    id + " takes more than its team may use");
+                    id + " exceeds the quota of its team");
               }
             });
   }
 
-  private static double[] add(Map<String, double[]> uses, String name, JobSpec spec, int tasks) {
-    double[] use = uses.computeIfAbsent(name, k -> new double[3]);
-    use[0] += tasks * spec.cpus();
-    use[1] += tasks * spec.gpus();
-    use[2] += tasks * spec.memGb();
-    return use;
+  /** Adds the tasks to the CPUs, GPUs and memory used under a name, and returns the sums. */
+  private static double[] addUsage(
+      Map<String, double[]> usages, String name, JobSpec spec, int tasks) {
+    double[] usage = usages.computeIfAbsent(name, k -> new double[3]);
+    usage[0] += tasks * spec.cpus();
+    usage[1] += tasks * spec.gpus();
+    usage[2] += tasks * spec.memGb();
+    return usage;
   }
 
-  /** After everything has gone nothing is left of it in the kept state. */
+  /** After all machines and jobs are removed, the incremental state has no remains of them. */
   @Test
-  void whatIsKeptEmptiesAgain() {
+  void isEmptyAfterEverythingIsRemoved() {
     random = new Random(7);
     for (int i = 0; i < 300; i++) {
-      change();
+      applyRandomChange();
     }
-    carryOut(Planner.plan(snapshot(), kept, BOUNDS));
+    applyPlan(Planner.plan(snapshot(), incremental, BOUNDS));
     for (String id : List.copyOf(jobs.keySet())) {
-      replace(id, null);
+      replaceRecord(id, null);
     }
     for (String machine : List.copyOf(machines.keySet())) {
       machines.remove(machine);
-      kept.remove(machine);
+      incremental.removeMachine(machine);
     }
-    assertEquals(new Plan(Map.of(), Map.of(), List.of()), Planner.plan(snapshot(), kept, BOUNDS));
-    assertEquals(0, kept.size());
-    assertEquals(List.of(), List.copyOf(kept.free()));
-    assertEquals(Map.of(), kept.leaving());
-    assertEquals(0, kept.replicasLeaving());
-    assertEquals(0, kept.cpus());
-    assertEquals(0, kept.teams().cpus("owner"));
+    assertEquals(
+        new Plan(Map.of(), Map.of(), List.of()), Planner.plan(snapshot(), incremental, BOUNDS));
+    assertEquals(0, incremental.size());
+    assertEquals(List.of(), List.copyOf(incremental.withFreeCpus()));
+    assertEquals(Map.of(), incremental.releasing());
+    assertEquals(0, incremental.stoppingReplicas());
+    assertEquals(0, incremental.totalCpus());
+    assertEquals(0, incremental.teamUsage().cpus("owner"));
   }
 
   private Snapshot snapshot() {
@@ -167,9 +177,9 @@
     return new Snapshot(List.copyOf(machines.values()), booting, byArrival, TEAMS, true);
   }
 
-  private void change() {
+  private void applyRandomChange() {
     switch (random.nextInt(10)) {
-      case 0, 1 -> addMachine(String.format("n-%04d", made++));
+      case 0, 1 -> addMachine(String.format("n-%04d", created++));
       case 2 -> randomOf(machines.keySet(), this::addMachine);
       case 3 -> {
         if (machines.size() > 12) {
@@ -178,14 +188,14 @@
       }
       case 4, 5, 6 -> submit();
       case 7 -> randomOf(jobs.keySet(), this::finishSome);
-      case 8 -> randomOf(jobs.keySet(), id -> replace(id, record(id).cancelled(1)));
-      default -> randomOf(jobs.keySet(), id -> put(id, record(id)));
+      case 8 -> randomOf(jobs.keySet(), id -> replaceRecord(id, record(id).cancelled(1)));
+      default -> randomOf(jobs.keySet(), id -> putRecord(id, record(id)));
     }
   }
 
-  private void randomOf(Set<String> names, Consumer<String> then) {
+  private void randomOf(Set<String> names, Consumer<String> action) {
     if (!names.isEmpty()) {
-      then.accept(List.copyOf(names).get(random.nextInt(names.size())));
+      action.accept(List.copyOf(names).get(random.nextInt(names.size())));
     }
   }
 
@@ -208,60 +218,60 @@
             0.4 + random.nextInt(3) * 0.1,
             1 + random.nextInt(3) * 0.07);
     machines.put(name, state);
-    kept.machine(state);
+    incremental.updateMachine(state);
   }
 
   private void removeMachine(String name) {
     machines.remove(name);
-    kept.remove(name);
+    incremental.removeMachine(name);
     for (String id : List.copyOf(jobs.keySet())) {
       JobRecord record = record(id);
-      List<EndedAttempt> gone = new ArrayList<>();
+      List<EndedAttempt> ended = new ArrayList<>();
       for (Placement placement : record.placements()) {
         if (placement.machine().equals(name) && random.nextInt(3) > 0) {
           placement.tasks().forEach(
-              t -> gone.add(new EndedAttempt(t, placement.attempt(), name, false)));
+              t -> ended.add(new EndedAttempt(t, placement.attempt(), name, false)));
         }
       }
-      replace(id, record.absorbed(gone));
+      replaceRecord(id, record.absorbed(ended));
     }
   }
 
   private void submit() {
-    JobKind shape = JobKind.values()[random.nextInt(JobKind.values().length)];
+    JobKind kind = JobKind.values()[random.nextInt(JobKind.values().length)];
     boolean gpus = random.nextInt(3) == 0;
-    String id = "wk-" + String.format("%05d", made++);
-    int tasks = 1 + random.nextInt(shape == JobKind.ARRAY ? 30 : 6);
-    boolean sameZone = shape == JobKind.GANG && random.nextBoolean();
-    boolean alike = shape == JobKind.SERVICE && random.nextInt(4) > 0;
+    String id = "wk-" + String.format("%05d", created++);
+    int tasks = 1 + random.nextInt(kind == JobKind.ARRAY ? 30 : 6);
+    boolean sameZone = kind == JobKind.GANG && random.nextBoolean();
+    boolean similar = kind == JobKind.SERVICE && random.nextInt(4) > 0;
     JobSpec spec =
         new JobSpec(
             id,
             "c",
             List.copyOf(new TreeMap<>(TEAMS).keySet()).get(random.nextInt(3)),
-            shape,
+            kind,
             Priority.values()[random.nextInt(Priority.values().length)],
             tasks,
-            0.7 + random.nextInt(alike ? 1 : 4),
+            0.7 + random.nextInt(similar ? 1 : 4),
             gpus ? 1 + random.nextInt(3) : 0,
-            1.1 + random.nextInt(alike ? 1 : 5),
-            "img-" + random.nextInt(alike ? 2 : 4),
+            1.1 + random.nextInt(similar ? 1 : 5),
+            "img-" + random.nextInt(similar ? 2 : 4),
             1.5,
             random.nextInt(4) == 0 ? List.of("large", "accel") : null,
             random.nextInt(6) == 0 ? "b" : null,
             sameZone,
             !sameZone && random.nextInt(3) == 0,
             random.nextBoolean(),
-            shape == JobKind.SERVICE ? 0 : 10 + random.nextInt(50),
+            kind == JobKind.SERVICE ? 0 : 10 + random.nextInt(50),
             0,
             0,
             null);
-    put(id, JobRecord.created(spec, 1000 + made));
+    putRecord(id, JobRecord.created(spec, 1000 + created));
   }
 
   private void finishSome(String id) {
     JobRecord record = record(id);
-    List<EndedAttempt> over = new ArrayList<>();
+    List<EndedAttempt> ended = new ArrayList<>();
     for (Placement placement : record.placements()) {
       boolean done = random.nextInt(3) > 0;
       placement
@@ -269,29 +279,33 @@
           .forEach(
               task -> {
                 if (random.nextBoolean()) {
-                  over.add(new EndedAttempt(task, placement.attempt(), placement.machine(), done));
+                  ended.add(new EndedAttempt(task, placement.attempt(), placement.machine(), done));
                 }
               });
     }
-    replace(id, record.absorbed(over));
+    replaceRecord(id, record.absorbed(ended));
   }
 
-  private void carryOut(Plan plan) {
+  /**
+   * Applies all evictions, and placements in part: some jobs get one assignment only, some none.
+   */
+  private void applyPlan(Plan plan) {
     plan.evictions()
         .forEach(
-            (id, stops) -> {
+            (id, evictions) -> {
               JobRecord next = record(id);
-              for (Eviction stop : stops) {
-                next = next.stopped(stop.machine(), stop.tasks());
+              for (Eviction eviction : evictions) {
+                next = next.stopped(eviction.machine(), eviction.tasks());
               }
-              replace(id, next);
+              replaceRecord(id, next);
             });
     plan.placements()
         .forEach(
-            (id, round) -> {
-              List<Assignment> part = random.nextInt(5) == 0 ? round.subList(0, 1) : round;
+            (id, assignments) -> {
+              List<Assignment> applied =
+                  random.nextInt(5) == 0 ? assignments.subList(0, 1) : assignments;
               if (random.nextInt(6) > 0) {
-                replace(id, record(id).placed(part));
+                replaceRecord(id, record(id).placed(applied));
               }
             });
   }
@@ -300,20 +314,23 @@
     return jobs.get(id).record();
   }
 
-  private void replace(String id, JobRecord next) {
+  private void replaceRecord(String id, JobRecord next) {
     if (next == null || next.spec() == null) {
-      kept.job(record(id), null);
+      incremental.updateJob(record(id), null);
       jobs.remove(id);
     } else {
-      put(id, next);
+      putRecord(id, next);
     }
   }
 
-  /** With time that has passed: how a pass sees a job changes without its record. */
-  private void put(String id, JobRecord record) {
+  /**
+   * Stores a job's record with a random {@link JobState}: apart from the record, how a pass sees a
+   * job also changes as time passes.
+   */
+  private void putRecord(String id, JobRecord record) {
     JobState before = jobs.get(id);
-    kept.job(before == null ? null : before.record(), record);
-    Set<String> avoid =
+    incremental.updateJob(before == null ? null : before.record(), record);
+    Set<String> excluded =
         random.nextInt(6) == 0 && !machines.isEmpty()
             ? Set.of(List.copyOf(machines.keySet()).get(0))
             : Set.of();
@@ -326,7 +343,7 @@
             random.nextBoolean(),
             random.nextInt(12) == 0,
             random.nextInt(2),
-            avoid,
+            excluded,
             record.untouched() && random.nextInt(4) == 0));
   }
 }
--- a/src/test/java/io/tansystack/schedule/RentPlannerTest.java
+++ b/src/test/java/io/tansystack/schedule/RentPlannerTest.java
@@ -22,6 +22,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against renting machines that are too expensive, of no use to the tasks that need
+ * capacity, or not needed because pending machines suffice.
+ */
 class RentPlannerTest {
   private static final MachineType SMALL =
       new MachineType("small", 4, 0, 16, 50, 1, 1.0, 0.3, 30, List.of("a", "b"));
@@ -30,42 +34,44 @@
   private static final Map<String, MachineType> TYPES = Map.of("small", SMALL, "accel", ACCEL);
 
   private static JobSpec spec(
-      JobKind shape, int tasks, double cpus, boolean together, boolean scatter) {
+      JobKind kind, int tasks, double cpus, boolean sameZone, boolean scatter) {
     return new JobSpec(
-        "wk-1", "c", "t", shape, Priority.LOW, tasks, cpus, 0, 1, "img", 1, null, null, together, scatter, false,
-        20, 0, 0, null);
+        "wk-1", "c", "t", kind, Priority.LOW, tasks, cpus, 0, 1, "img", 1, null, null, sameZone,
+        scatter, false, 20, 0, 0, null);
   }
 
   private static Map<MachineOffering, Integer> rent(
       UnmetDemand unmet,
-      List<MachineOffering> coming,
+      List<MachineOffering> pending,
       Map<String, MachineType> types,
       Predicate<MachineOffering> blocked) {
-    return RentPlanner.decide(List.of(unmet), coming, types, blocked, OperatorSettings.defaults());
+    return RentPlanner.decide(List.of(unmet), pending, types, blocked, OperatorSettings.defaults());
   }
 
   @Test
-  void rentsTheCheapestAndCountsWhatIsBooting() {
+  void rentsCheapestOfferingAndCountsPendingMachines() {
     UnmetDemand unmet =
         new UnmetDemand("wk-1", spec(JobKind.ARRAY, 8, 1, false, false), 8, false, Map.of());
     MachineOffering small = new MachineOffering("small", "a", false);
-    Map<MachineOffering, Integer> rent = rent(unmet, List.of(), TYPES, k -> false);
-    assertEquals(2, rent.values().stream().mapToInt(i -> i).sum());
-    assertTrue(rent.keySet().stream().allMatch(k -> k.type().equals("small")));
+    Map<MachineOffering, Integer> rentals = rent(unmet, List.of(), TYPES, k -> false);
+    assertEquals(2, rentals.values().stream().mapToInt(i -> i).sum());
+    assertTrue(rentals.keySet().stream().allMatch(k -> k.type().equals("small")));
     assertTrue(rent(unmet, List.of(small, small), TYPES, k -> false).isEmpty());
-    rent = rent(unmet, List.of(), TYPES, k -> k.type().equals("small"));
+    rentals = rent(unmet, List.of(), TYPES, k -> k.type().equals("small"));
     assertEquals(
         Set.of("accel"),
-        rent.keySet().stream().map(MachineOffering::type).collect(Collectors.toSet()));
+        rentals.keySet().stream().map(MachineOffering::type).collect(Collectors.toSet()));
   }
 
   /**
-   * Each task takes a machine. Where a job may stand in a zone only so often, or in one zone only, machines
-   * in another zone are of no use to it: they would be rented, idle, returned and rented again for ever.
+   * Each task needs a whole machine. If a job limits its tasks in a zone, or must run in one zone,
+   * machines in other zones can be of no use to it: they would be rented, stay idle, be returned
+   * and be rented again without end.
    */
   @ParameterizedTest
   @CsvSource({
-    // shape, tasks, left, how they stand, the others by zone, coming, refused, what is rented by zone
+    // kind, tasks, unplaced, zone rule, other tasks by zone, zone of a pending machine,
+    // zones without offerings, expected rentals by zone
     "GANG, 2, 1, scatter, a1, '', '', b1",
     "GANG, 4, 2, scatter, a2, '', '', b2",
     "GANG, 4, 3, scatter, a1, '', '', a1 b2",
@@ -75,39 +81,40 @@
     "SERVICE, 2, 1, scatter, b1, '', a, ''",
     "SERVICE, 5, 2, scatter, a2 b1, '', '', a1 b1",
     "ARRAY, 3, 1, scatter, a2, '', '', b1",
-    "GANG, 3, 2, together, b1, '', '', b2",
-    "GANG, 3, 2, together, b1, '', b, a3",
-    "GANG, 3, 3, together, '', a1, a, b3",
-    "GANG, 3, 3, together, '', b1, '', b2",
-    "GANG, 3, 3, together, '', '', a b, ''",
-    "ARRAY, 3, 2, together, b1, '', '', b2",
-    "ARRAY, 3, 2, together, b1, '', b, ''",
-    "ARRAY, 3, 2, anyhow, b1, '', b, a2",
+    "GANG, 3, 2, sameZone, b1, '', '', b2",
+    "GANG, 3, 2, sameZone, b1, '', b, a3",
+    "GANG, 3, 3, sameZone, '', a1, a, b3",
+    "GANG, 3, 3, sameZone, '', b1, '', b2",
+    "GANG, 3, 3, sameZone, '', '', a b, ''",
+    "ARRAY, 3, 2, sameZone, b1, '', '', b2",
+    "ARRAY, 3, 2, sameZone, b1, '', b, ''",
+    "ARRAY, 3, 2, any, b1, '', b, a2",
   })
-  void rentsWhereTheJobsOtherTasksLetItStand(
-      JobKind shape,
+  void rentsOnlyInZonesThatTheOtherTasksAllow(
+      JobKind kind,
       int tasks,
-      int left,
-      String how,
-      String others,
-      String coming,
-      String refused,
-      String rented) {
-    JobSpec spec = spec(shape, tasks, 4, how.equals("together"), how.equals("scatter"));
-    List<MachineOffering> booting =
-        coming.isEmpty()
+      int unplaced,
+      String zoneRule,
+      String otherTasks,
+      String pendingZone,
+      String blockedZones,
+      String expected) {
+    JobSpec spec = spec(kind, tasks, 4, zoneRule.equals("sameZone"), zoneRule.equals("scatter"));
+    List<MachineOffering> pending =
+        pendingZone.isEmpty()
             ? List.of()
-            : List.of(new MachineOffering("small", coming.substring(0, 1), false));
-    Map<String, Integer> byZone = new TreeMap<>();
+            : List.of(new MachineOffering("small", pendingZone.substring(0, 1), false));
+    Map<String, Integer> rentedByZone = new TreeMap<>();
     rent(
-            new UnmetDemand("wk-1", spec, left, false, counts(others)),
-            booting,
+            new UnmetDemand("wk-1", spec, unplaced, false, counts(otherTasks)),
+            pending,
             Map.of("small", SMALL),
-            kind -> refused.contains(kind.zone()))
-        .forEach((kind, count) -> byZone.merge(kind.zone(), count, Integer::sum));
-    assertEquals(counts(rented), byZone);
+            offering -> blockedZones.contains(offering.zone()))
+        .forEach((offering, count) -> rentedByZone.merge(offering.zone(), count, Integer::sum));
+    assertEquals(counts(expected), rentedByZone);
   }
 
+  /** Parses counts by zone, such as {@code a2 b1}. */
   private static Map<String, Integer> counts(String text) {
     Map<String, Integer> counts = new HashMap<>();
     for (String part : Splitter.on(' ').omitEmptyStrings().split(text)) {
