--- a/src/main/java/io/tansystack/cli/Controller.java
+++ b/src/main/java/io/tansystack/cli/Controller.java
@@ -232,7 +232,7 @@
         lease.recordLost();
       }
       views.keySet().removeIf(name -> world.machine(name) == null && desk.silentFor(name) == null);
-      jobs.wake();
+      jobs.requestPass();
       if (lease.valid() && world.alive(settings.label(), boot)) {
         start.tick();
       }
@@ -277,14 +277,14 @@
         "change",
         () -> {
           slots.tick();
-          jobs.touched(touched);
+          jobs.onClusterStateChange(touched);
           desk.onClusterStateChange(touched);
         });
-    jobs.wake();
+    jobs.requestPass();
   }
 
   private void synced(Duration at) {
-    users.synced(at);
+    users.onUpToDate(at);
   }
 
   private ObjectNode fleetNews() {
@@ -327,7 +327,7 @@
     MachineView old = views.get(view.report().machine());
     if (old == null || view.newerThan(old)) {
       views.put(view.report().machine(), view);
-      jobs.viewChanged(old, view);
+      jobs.onViewChange(old, view);
     }
   }
 
--- a/src/main/java/io/tansystack/jobs/DroppedPlacementLog.java
+++ b/src/main/java/io/tansystack/jobs/DroppedPlacementLog.java
@@ -5,29 +5,37 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs which placements a write drops, and by which proofs: one line for each job that is written. */
+/**
+ * Logs which placements a write removes and which termination proofs allow that: one line for each
+ * job that is written.
+ */
 final class DroppedPlacementLog {
   private static final Logger log = LoggerFactory.getLogger(DroppedPlacementLog.class);
 
-  /** A line names the proofs for so many placements at most. */
-  private static final int MOST_GROUNDS = 60;
+  /** Maximum number of placements whose proofs are listed in one line. */
+  private static final int MAX_EVIDENCE = 60;
 
   private DroppedPlacementLog() {}
 
   /**
-   * @param proofs that the job's next record takes in; null for none
-   * @param copy the revision of the copy of the records by which they were found
+   * @param proofs the proofs that the job's next record has applied; null for none
+   * @param revision the revision of the cluster state in which the proofs were found
    */
-  static void log(String job, TerminationProofs proofs, long copy) {
+  static void log(String job, TerminationProofs proofs, long revision) {
     if (proofs == null || !log.isInfoEnabled()) {
       return;
     }
-    List<TerminationProofs.Evidence> grounds = proofs.evidence();
-    int more = grounds.size() - MOST_GROUNDS;
-    if (more > 0) {
-      log.info("drop job={} copy={} {} and {} more", job, copy, grounds.subList(0, MOST_GROUNDS), more);
+    List<TerminationProofs.Evidence> evidence = proofs.evidence();
+    int omitted = evidence.size() - MAX_EVIDENCE;
+    if (omitted > 0) {
+      log.info(
+          "drop job={} copy={} {} and {} more",
+          job,
+          revision,
+          evidence.subList(0, MAX_EVIDENCE),
+          omitted);
     } else {
-      log.info("drop job={} copy={} {}", job, copy, grounds);
+      log.info("drop job={} copy={} {}", job, revision, evidence);
     }
   }
 }
--- a/src/main/java/io/tansystack/jobs/FallbackProofWriter.java
+++ b/src/main/java/io/tansystack/jobs/FallbackProofWriter.java
@@ -19,79 +19,89 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Proofs for jobs of other controllers' slots that nobody takes in. */
+/**
+ * Writes termination proofs for jobs in other controllers' slots, where the slot's holder does not
+ * apply them.
+ */
 final class FallbackProofWriter {
   private static final Logger log = LoggerFactory.getLogger(FallbackProofWriter.class);
-  private static final Duration FOREIGN_AFTER = Duration.ofMillis(2500);
+
+  /** How long proofs may stay unapplied if the slot's holder is gone or not able to schedule. */
+  private static final Duration INACTIVE_HOLDER_DELAY = Duration.ofMillis(2500);
 
   /**
-   * A holder that acts has more proofs to write than the limit allows at times: after a fleet has lost
-   * its leases, of every job at once. Help from all others only makes all their writes conflict.
+   * How long proofs may stay unapplied if the slot's holder is able to schedule. Such a holder has
+   * at times more proofs to write than the write limit allows: after a fleet has lost its leases,
+   * there are proofs for every job at once. If all other controllers helped, their writes would
+   * only conflict with each other.
    */
-  private static final Duration HOLDER_ACTS = Duration.ofSeconds(30);
+  private static final Duration ACTIVE_HOLDER_DELAY = Duration.ofSeconds(30);
 
-  private record Unabsorbed(long version, Duration since) {}
+  /** Proofs for a job whose record has kept this version since that time. */
+  private record UnappliedProof(long version, Duration since) {}
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
-  private final SlotManager slots;
-  private final SchedulingState book;
-  private final Predicate<String> acts;
-  private final Runnable wake;
-  private final Map<String, Unabsorbed> unabsorbed = new HashMap<>();
+  private final ClusterState clusterState;
+  private final SlotManager slotManager;
+  private final SchedulingState schedulingState;
+  private final Predicate<String> canAct;
+  private final Runnable requestPass;
+  private final Map<String, UnappliedProof> unapplied = new HashMap<>();
 
-  /** @param acts whether a controller is heard of here and says that it may act */
+  /** @param canAct whether a controller is heard from and reports that it is able to schedule */
   FallbackProofWriter(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
-      SlotManager slots,
-      SchedulingState book,
-      Predicate<String> acts,
-      Runnable wake) {
+      ClusterState clusterState,
+      SlotManager slotManager,
+      SchedulingState schedulingState,
+      Predicate<String> canAct,
+      Runnable requestPass) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
-    this.slots = slots;
-    this.book = book;
-    this.acts = acts;
-    this.wake = wake;
+    this.clusterState = clusterState;
+    this.slotManager = slotManager;
+    this.schedulingState = schedulingState;
+    this.canAct = canAct;
+    this.requestPass = requestPass;
   }
 
   /**
-   * Where the holder of a job's slot does not take in proofs that have been here for a while, for
-   * instance because it can't be reached, they are written without it: the record's own version is
-   * enough for that, and users learn that their job is done.
+   * Writes proofs that have been known here for a while and that the slot's holder has not applied,
+   * for instance because it can't be reached. The version of the job's record is a sufficient
+   * condition for such a write, and users learn that their job is finished.
    */
-  void absorb() {
+  void applyOverdueProofs() {
     Duration now = loop.now();
-    unabsorbed.keySet().retainAll(book.proven());
-    for (String id : List.copyOf(book.proven())) {
-      Job job = world.job(id);
-      if (slots.holds(job.slot()) || book.isPending(id)) {
-        unabsorbed.remove(id);
+    unapplied.keySet().retainAll(schedulingState.jobsWithProofs());
+    for (String id : List.copyOf(schedulingState.jobsWithProofs())) {
+      Job job = clusterState.job(id);
+      if (slotManager.holds(job.slot()) || schedulingState.isPending(id)) {
+        unapplied.remove(id);
         continue;
       }
-      Unabsorbed known = unabsorbed.get(id);
+      UnappliedProof known = unapplied.get(id);
       if (known == null || known.version != job.version()) {
-        unabsorbed.put(id, new Unabsorbed(job.version(), now));
+        unapplied.put(id, new UnappliedProof(job.version(), now));
         continue;
       }
-      ClusterState.Holder holder = world.slot(job.slot());
-      boolean held =
-          holder != null && world.alive(holder.label(), holder.incarnation()) && acts.test(holder.label());
-      Duration after = held ? HOLDER_ACTS : FOREIGN_AFTER;
-      if (now.minus(known.since).compareTo(after) < 0 || !store.reserve(1)) {
+      ClusterState.Holder holder = clusterState.slot(job.slot());
+      boolean holderActive =
+          holder != null
+              && clusterState.alive(holder.label(), holder.incarnation())
+              && canAct.test(holder.label());
+      Duration delay = holderActive ? ACTIVE_HOLDER_DELAY : INACTIVE_HOLDER_DELAY;
+      if (now.minus(known.since).compareTo(delay) < 0 || !store.reserve(1)) {
         continue;
       }
-      unabsorbed.remove(id);
+      unapplied.remove(id);
       List<Condition> conditions = new ArrayList<>(job.unchanged());
-      JobUpdateBuilder.addProofConditions(book.proofs(id), new HashSet<>(), conditions);
-      JobRecord next = book.effective().get(id);
-      log.info("taking in proofs for job={} of another's slot {}", id, job.slot());
-      DroppedPlacementLog.log(id, book.proofs(id), world.revision());
-      book.writing(job, next);
+      JobUpdateBuilder.addProofConditions(schedulingState.proofs(id), new HashSet<>(), conditions);
+      JobRecord next = schedulingState.effective().get(id);
+      log.info("applying proofs for job={} in another controller's slot={}", id, job.slot());
+      DroppedPlacementLog.log(id, schedulingState.proofs(id), clusterState.revision());
+      schedulingState.writeStarted(job, next);
       store.commitReserved(
           conditions,
           List.of(new Write(ClusterState.jobKey(id), next.write(), 0)),
@@ -99,12 +109,12 @@
               loop.after(
                   Duration.ofMillis(300),
                   () -> {
-                    book.dropped(id);
-                    wake.run();
+                    schedulingState.discardWrite(id);
+                    requestPass.run();
                   }));
     }
-    if (!unabsorbed.isEmpty()) {
-      loop.after(Duration.ofSeconds(1), wake);
+    if (!unapplied.isEmpty()) {
+      loop.after(Duration.ofSeconds(1), requestPass);
     }
   }
 }
--- a/src/main/java/io/tansystack/jobs/JobHealthMonitor.java
+++ b/src/main/java/io/tansystack/jobs/JobHealthMonitor.java
@@ -18,58 +18,70 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Names what somebody ought to look at, once each: work that makes no progress, work that no machine
- * can be had for, and deadlines about to be missed. Nobody need be awake to notice by chance.
+ * Logs a warning, once for each job and kind of problem, about jobs that need an operator's
+ * attention: jobs that make no progress, jobs for which no machine can be obtained, and deadlines
+ * that are about to be missed. Operators don't have to find such jobs by chance.
  */
 public final class JobHealthMonitor {
   private static final Logger log = LoggerFactory.getLogger(JobHealthMonitor.class);
-  private static final Duration STUCK = Duration.ofSeconds(120);
-  private static final Duration TURN = Duration.ofSeconds(5);
 
+  /**
+   * A job counts as stuck if it makes no progress for this time plus four times its estimated run
+   * time. A job without placements is reported after half of this time.
+   */
+  private static final Duration STUCK_AFTER = Duration.ofSeconds(120);
+
+  private static final Duration CHECK_INTERVAL = Duration.ofSeconds(5);
+
+  /** A job's progress counts, unchanged since the given time. */
   private record Progress(int done, long attempt, int placed, Duration since) {}
 
   private final EventLoop loop;
   private final InstantSource clock;
-  private final ClusterState world;
-  private final SlotManager slots;
-  private final Predicate<String> unmet;
+  private final ClusterState clusterState;
+  private final SlotManager slotManager;
+  private final Predicate<String> hasUnmetDemand;
   private final Map<String, Progress> progress = new HashMap<>();
+
+  /** Warnings already logged: the job's ID, a space and the problem. */
   private final Set<String> warned = new HashSet<>();
 
+  /** @param hasUnmetDemand whether the last pass found no capacity for some task of the job */
   public JobHealthMonitor(
       EventLoop loop,
       InstantSource clock,
-      ClusterState world,
-      SlotManager slots,
-      Predicate<String> unmet) {
+      ClusterState clusterState,
+      SlotManager slotManager,
+      Predicate<String> hasUnmetDemand) {
     this.loop = loop;
     this.clock = clock;
-    this.world = world;
-    this.slots = slots;
-    this.unmet = unmet;
+    this.clusterState = clusterState;
+    this.slotManager = slotManager;
+    this.hasUnmetDemand = hasUnmetDemand;
   }
 
+  /** Starts the periodic check; called once. */
   public void start() {
     loop.after(
-        TURN,
+        CHECK_INTERVAL,
         () -> {
           start();
-          look();
+          checkJobs();
         });
   }
 
-  private void look() {
-    progress.keySet().retainAll(world.jobs().keySet());
-    warned.removeIf(key -> world.job(key.substring(0, key.indexOf(' '))) == null);
-    for (Job job : world.jobs().values()) {
-      if (job.record().active() && slots.holds(job.slot())) {
-        stuck(job);
-        deadline(job);
+  private void checkJobs() {
+    progress.keySet().retainAll(clusterState.jobs().keySet());
+    warned.removeIf(key -> clusterState.job(key.substring(0, key.indexOf(' '))) == null);
+    for (Job job : clusterState.jobs().values()) {
+      if (job.record().active() && slotManager.holds(job.slot())) {
+        checkProgress(job);
+        checkDeadline(job);
       }
     }
   }
 
-  private void stuck(Job job) {
+  private void checkProgress(Job job) {
     JobRecord record = job.record();
     JobSpec spec = record.spec();
     Duration now = loop.now();
@@ -83,47 +95,47 @@
           new Progress(record.done().size(), record.attempt(), record.placedCount(), now));
       return;
     }
-    Duration still = now.minus(last.since);
-    if (record.placedCount() == 0 && still.compareTo(STUCK.dividedBy(2)) > 0) {
+    Duration unchangedFor = now.minus(last.since);
+    if (record.placedCount() == 0 && unchangedFor.compareTo(STUCK_AFTER.dividedBy(2)) > 0) {
       warn(
           job,
-          unmet.test(job.id()) ? "no-machine" : "waiting",
-          "nothing of it has been placed for " + still.toSeconds() + " s");
+          hasUnmetDemand.test(job.id()) ? "no-machine" : "waiting",
+          "no task has been placed for " + unchangedFor.toSeconds() + " s");
     }
-    double expected = spec.estimateS() * 4 + STUCK.toSeconds();
+    double expectedS = spec.estimateS() * 4 + STUCK_AFTER.toSeconds();
     if (spec.shape() != JobKind.SERVICE
         && record.placedCount() > 0
-        && still.toSeconds() > expected) {
-      warn(job, "stuck", "no task has ended or started for " + still.toSeconds() + " s");
+        && unchangedFor.toSeconds() > expectedS) {
+      warn(job, "stuck", "no task has ended or started for " + unchangedFor.toSeconds() + " s");
     }
   }
 
-  private void deadline(Job job) {
+  private void checkDeadline(Job job) {
     JobSpec spec = job.record().spec();
     if (spec.deadlineS() == null) {
       return;
     }
-    double left = spec.deadlineS() - (clock.millis() - job.record().submittedMs()) / 1000.0;
-    if (left < spec.estimateS() && job.record().done().size() < spec.tasks()) {
+    double remainingS = spec.deadlineS() - (clock.millis() - job.record().submittedMs()) / 1000.0;
+    if (remainingS < spec.estimateS() && job.record().done().size() < spec.tasks()) {
       warn(
           job,
           "deadline",
           String.format(
               "%.0f s left, %d of %d tasks done, a task takes about %.0f s",
-              left, job.record().done().size(), spec.tasks(), spec.estimateS()));
+              remainingS, job.record().done().size(), spec.tasks(), spec.estimateS()));
     }
   }
 
-  private void warn(Job job, String what, String text) {
-    if (warned.add(job.id() + " " + what)) {
+  private void warn(Job job, String problem, String detail) {
+    if (warned.add(job.id() + " " + problem)) {
       JobSpec spec = job.record().spec();
       log.warn(
           "{} job={} class={} priority={}: {}",
-          what,
+          problem,
           job.id(),
           spec.jobClass(),
           spec.priority(),
-          text);
+          detail);
     }
   }
 }
--- a/src/main/java/io/tansystack/jobs/JobLookup.java
+++ b/src/main/java/io/tansystack/jobs/JobLookup.java
@@ -15,164 +15,197 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds jobs as they stand now, not as a copy that may lag shows them. A job's own record is read from
- * the state service; one that was accepted together with others has none until it is acted on, so
- * only a copy of the records that holds all that was committed before the question may deny a job.
+ * Finds the current state of jobs, which the local cache of the records may not show yet. A job's
+ * individual record is read from the state service. A job that was accepted in a submission batch
+ * has no individual record until it is acted on, so only a cache that contains every change
+ * committed before the request can prove that a job does not exist.
  */
 final class JobLookup {
-  private static final Duration ASK_AFTER = Duration.ofMillis(200);
-  private static final Duration LONGEST_WAIT = Duration.ofMillis(700);
+  /** How long requests wait for the next change before a confirmation is requested. */
+  private static final Duration CONFIRM_DELAY = Duration.ofMillis(200);
 
-  /** What was found. */
-  interface LookupCallback {
-    /** The record, and the version of the job's own key: 0 where it has none yet. */
-    void take(JobRecord record, long version);
+  /** How long a request waits at most for the cache to be up to date. */
+  private static final Duration MAX_WAIT = Duration.ofMillis(700);
 
-    /** There was no such job when it was asked for. */
+  /** Receives the result of a lookup. */
+  interface LookupCallback {
+    /**
+     * The job was found.
+     *
+     * @param version the version of the job's individual key; 0 if it has none yet
+     */
+    void found(JobRecord record, long version);
+
+    /** There was no such job at the time of the request. */
     void absent();
 
-    /** Nobody knows now. */
-    void unsure(String why);
+    /** The state of the job can't be determined now. */
+    void unavailable(String why);
   }
 
-  private record Waiting(Duration at, Consumer<Boolean> then) {}
+  private record WaitingRequest(Duration requestedAt, Consumer<Boolean> callback) {}
 
-  private final ThrottledLogger malformed =
+  private final ThrottledLogger invalidMessages =
       new ThrottledLogger(LoggerFactory.getLogger(JobLookup.class));
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
-  private final Runnable confirm;
-  private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-  private Duration syncedAt;
+  private final ClusterState clusterState;
+  private final Runnable requestConfirmation;
+  private final ArrayDeque<WaitingRequest> waiting = new ArrayDeque<>();
+  private Duration upToDateAt;
 
-  /** @param confirm asks whether the copy is complete, where nothing changes */
-  JobLookup(EventLoop loop, StoreClient store, ClusterState world, Runnable confirm) {
+  /**
+   * @param requestConfirmation asks the state service to confirm that the cache is up to date, for
+   *     times when nothing changes
+   */
+  JobLookup(
+      EventLoop loop, StoreClient store, ClusterState clusterState, Runnable requestConfirmation) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
-    this.confirm = confirm;
+    this.clusterState = clusterState;
+    this.requestConfirmation = requestConfirmation;
   }
 
-  /** The copy of the records holds all that was committed before {@code at}. */
-  void synced(Duration at) {
-    if (syncedAt == null || at.compareTo(syncedAt) > 0) {
-      syncedAt = at;
+  /** Called when the cache contains every change committed before {@code at}. */
+  void onUpToDate(Duration at) {
+    if (upToDateAt == null || at.compareTo(upToDateAt) > 0) {
+      upToDateAt = at;
     }
-    while (!waiting.isEmpty() && waiting.peek().at.compareTo(at) <= 0) {
-      waiting.poll().then.accept(true);
+    while (!waiting.isEmpty() && waiting.peek().requestedAt.compareTo(at) <= 0) {
+      waiting.poll().callback.accept(true);
     }
   }
 
-  /** Calls back once the copy holds all that was committed before now, or with false after a while. */
-  void whenSynced(Consumer<Boolean> then) {
-    waiting.add(new Waiting(loop.now(), then));
+  /**
+   * Calls back with true once the cache contains every change committed before now, or with false
+   * if that takes longer than {@link #MAX_WAIT}.
+   */
+  void whenUpToDate(Consumer<Boolean> callback) {
+    waiting.add(new WaitingRequest(loop.now(), callback));
     if (waiting.size() == 1) {
-      loop.after(ASK_AFTER, this::tendLongest);
+      loop.after(CONFIRM_DELAY, this::serveWaiting);
     }
   }
 
-  /** Where nothing changes, the copy is confirmed seldom: it is asked for once, for all who wait. */
-  private void tendLongest() {
+  /**
+   * Ends requests that have waited for too long. While nothing changes, the cache is seldom
+   * confirmed to be up to date, so a confirmation is requested, once for all waiting requests.
+   */
+  private void serveWaiting() {
     Duration now = loop.now();
-    while (!waiting.isEmpty() && now.minus(waiting.peek().at).compareTo(LONGEST_WAIT) >= 0) {
-      waiting.poll().then.accept(false);
+    while (!waiting.isEmpty() && now.minus(waiting.peek().requestedAt).compareTo(MAX_WAIT) >= 0) {
+      waiting.poll().callback.accept(false);
     }
     if (!waiting.isEmpty()) {
-      Duration left = ASK_AFTER.minus(now.minus(waiting.peek().at));
-      if (!left.isNegative() && !left.isZero()) {
-        loop.after(left, this::tendLongest);
+      Duration remaining = CONFIRM_DELAY.minus(now.minus(waiting.peek().requestedAt));
+      if (!remaining.isNegative() && !remaining.isZero()) {
+        loop.after(remaining, this::serveWaiting);
         return;
       }
-      confirm.run();
-      loop.after(ASK_AFTER, this::tendLongest);
+      requestConfirmation.run();
+      loop.after(CONFIRM_DELAY, this::serveWaiting);
     }
   }
 
-  /** @param askedAt when the question came: what was committed before that is found */
-  void find(String id, Duration askedAt, LookupCallback found) {
+  /**
+   * Finds a job.
+   *
+   * @param requestedAt when the request arrived; all changes committed before are considered
+   */
+  void find(String id, Duration requestedAt, LookupCallback callback) {
     read(
         ClusterState.jobKey(id),
-        found,
+        callback,
         change -> {
           if (change != null) {
-            take(id, change, found);
+            deliver(id, change, callback);
           } else {
-            withoutOwn(id, askedAt, found);
+            findWithoutIndividualRecord(id, requestedAt, callback);
           }
         });
   }
 
-  private void read(String key, LookupCallback found, Consumer<Change> then) {
+  private void read(String key, LookupCallback callback, Consumer<Change> onValue) {
     store.get(
         key,
         new ReadCallback() {
           @Override
           public void value(Change change) {
-            then.accept(change);
+            onValue.accept(change);
           }
 
           @Override
           public void failed() {
-            found.unsure("the state service did not answer");
+            callback.unavailable("the state service did not answer");
           }
         });
   }
 
   /**
-   * A read that took long tells of what stood when it was made. If the copy has seen the job's end since,
-   * its user may have been told of that by another controller, and must not hear less from this one.
+   * Passes a record that was read to the callback. A slow read returns the state at the time when
+   * it was executed. If the cache has shown the job's final state since, another controller may
+   * already have reported that state to the user, and this one must not report an earlier one.
    */
-  private void take(String id, Change change, LookupCallback found) {
+  private void deliver(String id, Change change, LookupCallback callback) {
     try {
       JobRecord record = JobRecord.read(change.value());
-      JobRecord.Phase phase = record.active() ? world.finalPhase(id) : null;
-      found.take(phase == null ? record : JobRecord.outcome(phase), change.version());
+      JobRecord.Phase phase = record.active() ? clusterState.finalPhase(id) : null;
+      callback.found(phase == null ? record : JobRecord.outcome(phase), change.version());
     } catch (InvalidMessageException e) {
-      malformed.tell("record of job=" + id, e.getMessage());
-      found.unsure("the record is unreadable");
+      invalidMessages.tell("record of job=" + id, e.getMessage());
+      callback.unavailable("the record is unreadable");
     }
   }
 
-  private void withoutOwn(String id, Duration askedAt, LookupCallback found) {
-    JobRecord.Phase phase = world.finalPhase(id);
+  private void findWithoutIndividualRecord(
+      String id, Duration requestedAt, LookupCallback callback) {
+    JobRecord.Phase phase = clusterState.finalPhase(id);
     if (phase != null) {
-      found.take(JobRecord.outcome(phase), 0);
-    } else if (world.job(id) != null || (syncedAt != null && syncedAt.compareTo(askedAt) >= 0)) {
-      amongEnded(id, found);
+      callback.found(JobRecord.outcome(phase), 0);
+    } else if (clusterState.job(id) != null
+        || (upToDateAt != null && upToDateAt.compareTo(requestedAt) >= 0)) {
+      findInArchive(id, callback);
     } else {
-      whenSynced(
-          synced -> {
-            if (synced || world.job(id) != null) {
-              amongEnded(id, found);
+      whenUpToDate(
+          upToDate -> {
+            if (upToDate || clusterState.job(id) != null) {
+              findInArchive(id, callback);
             } else {
-              found.unsure("the records are not up to date");
+              callback.unavailable("the records are not up to date");
             }
           });
-      confirm.run(); // Whoever asks for what is not there need not wait for the next change.
+      // A request for a job that doesn't exist need not wait for the next change.
+      requestConfirmation.run();
     }
   }
 
   /**
-   * It had no record of its own. What the copy tells, which holds all that was committed before the
-   * question, and then the absence of its outcome, tell the rest: with neither there was no such job;
-   * one that an intake accepted may wait still; and one that the copy shows under its own key has been
-   * put among those that are over since, and its outcome is there.
+   * Looks for the archived outcome of a job that had no individual record. The cache, which
+   * contains every change committed before the request, and then the archive distinguish the
+   * remaining cases:
+   *
+   * <ul>
+   *   <li>The job is in neither of them: there was no such job.
+   *   <li>The cache shows it in a submission batch only, and the archive has no outcome: it may not
+   *       have been acted on yet.
+   *   <li>The cache shows it under its individual key: it has been archived since, so the archive
+   *       has its outcome.
+   * </ul>
    */
-  private void amongEnded(String id, LookupCallback found) {
-    Job shown = world.job(id);
+  private void findInArchive(String id, LookupCallback callback) {
+    Job cached = clusterState.job(id);
     read(
         ClusterState.archiveKey(id),
-        found,
+        callback,
         change -> {
           if (change != null) {
-            take(id, change, found);
-          } else if (shown == null) {
-            found.absent();
-          } else if (shown.version() == 0) {
-            found.take(shown.record(), 0);
+            deliver(id, change, callback);
+          } else if (cached == null) {
+            callback.absent();
+          } else if (cached.version() == 0) {
+            callback.found(cached.record(), 0);
           } else {
-            found.unsure("the records are not up to date");
+            callback.unavailable("the records are not up to date");
           }
         });
   }
--- a/src/main/java/io/tansystack/jobs/JobScheduler.java
+++ b/src/main/java/io/tansystack/jobs/JobScheduler.java
@@ -26,121 +26,155 @@
 import java.util.function.Supplier;
 
 /**
- * The slot holder's rounds: takes proofs into the records of its jobs, plans, and writes placements.
- * One write for a job is under way at a time; until the copy of the records shows it, the job counts
- * as it was written.
+ * Runs the scheduling passes of a controller: applies termination proofs to the records of the jobs
+ * in its slots, plans, and writes placements. At most one write for a job is in flight; until the
+ * local cache of the records shows it, the job counts as it was written.
  */
 public final class JobScheduler {
-  private static final Duration MIN_GAP = PlanWriter.SOON;
+  private static final Duration MIN_PASS_INTERVAL = PlanWriter.RETRY_DELAY;
 
-  /** A controller that doesn't plan only looks for proofs that nobody takes in. */
-  private static final Duration LOOK_GAP = Duration.ofMillis(500);
+  /**
+   * Interval between passes of a controller that doesn't plan: it only looks for proofs that the
+   * holder of a slot does not apply.
+   */
+  private static final Duration NON_PLANNER_INTERVAL = Duration.ofMillis(500);
 
   /**
-   * A pass is followed by a pause of so many times its length: reports and renewals come first. Shorter where
-   * one of our jobs has just come. Each pass also leads to writes and orders, so that more of them cost more
-   * than their own time: with 30 days of pelamin-gallery-grown went over their processor time.
+   * A pass is followed by a pause of this many times its duration, because reports and lease
+   * renewals come first. Every pass also causes writes and commands, so additional passes cost more
+   * than their own time: with a factor of 30, days of pelamin-gallery-grown exceeded their
+   * processor time budget.
    */
-  private static final int REST = 120;
+  private static final int PAUSE_FACTOR = 120;
 
-  /** What waits for room is not kept waiting longer for a pass, however long one takes. */
-  private static final Duration LONGEST_REST = Duration.ofMillis(1500);
+  /**
+   * Maximum interval between passes, however long one takes, so that tasks which wait for capacity
+   * are not delayed further.
+   */
+  private static final Duration MAX_PASS_INTERVAL = Duration.ofMillis(1500);
 
-  private static final int SHORT_REST = 8;
+  /** Factor of the shorter pause after a job has arrived in one of this controller's slots. */
+  private static final int ARRIVAL_PAUSE_FACTOR = 8;
 
-  /** A pass plans for what can be written in so many seconds, */
+  /** A pass plans for as many jobs as can be written in this many seconds. */
   private static final double PLANNED_AHEAD_S = 2;
 
-  /** and for so many jobs at least. */
-  private static final int LEAST_JOBS = 64;
+  /** A pass plans for at least this many jobs, whatever the write limit. */
+  private static final int MIN_PLANNED_JOBS = 64;
 
-  private static final Duration START_GAP = Duration.ofMillis(250);
+  /** Maximum interval between passes while first reports of recorded machines are awaited. */
+  private static final Duration STARTUP_INTERVAL = Duration.ofMillis(250);
 
-  private static final Snapshot NOTHING =
+  private static final Snapshot EMPTY_SNAPSHOT =
       new Snapshot(List.of(), List.of(), List.of(), Map.of());
-  private static final Plan NO_PLAN = new Plan(Map.of(), Map.of(), List.of());
+  private static final Plan EMPTY_PLAN = new Plan(Map.of(), Map.of(), List.of());
 
   private final EventLoop loop;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final ControllerLease lease;
-  private final SlotManager slots;
-  private final Supplier<List<MachineState>> booting;
-  private final Consumer<Runnable> measured;
+  private final SlotManager slotManager;
+  private final Supplier<List<MachineState>> bootingMachines;
+  private final Consumer<Runnable> passRunner;
   private final FleetCoverage coverage;
-  private final RecordSizeLimit limit;
+  private final RecordSizeLimit sizeLimit;
   private final Planner.Bounds bounds;
-  private final SchedulingState book;
+  private final SchedulingState schedulingState;
   private final PlanWriter writer;
-  private final FallbackProofWriter foreign;
+  private final FallbackProofWriter fallbackProofWriter;
 
-  /** Whether the last pass planned. */
-  private boolean planned;
+  /** Whether this controller planned in its last pass. */
+  private boolean planning;
 
   private Duration lastPass = Duration.ZERO;
-  private Duration lastPassTook = Duration.ZERO;
+  private Duration lastPassDuration = Duration.ZERO;
   private Duration nextPass;
   private EventLoop.Timer timer;
-  private Snapshot snapshot = NOTHING;
-  private Plan plan = NO_PLAN;
+  private Snapshot snapshot = EMPTY_SNAPSHOT;
+  private Plan plan = EMPTY_PLAN;
 
+  /**
+   * @param bootingMachines rented machines that are not usable yet
+   * @param passRunner runs a pass and measures how long it takes
+   * @param canAct whether a controller is heard from and reports that it is able to schedule
+   */
   public JobScheduler(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
+      ClusterState clusterState,
       ControllerLease lease,
-      SlotManager slots,
+      SlotManager slotManager,
       PlatformSettings settings,
       Function<String, MachineView> views,
-      Function<String, MachineType> types,
-      Supplier<List<MachineState>> booting,
-      Consumer<Runnable> measured,
+      Function<String, MachineType> machineTypes,
+      Supplier<List<MachineState>> bootingMachines,
+      Consumer<Runnable> passRunner,
       InstantSource clock,
       FleetCoverage coverage,
-      Predicate<String> acts) {
+      Predicate<String> canAct) {
     this.loop = loop;
-    this.world = world;
+    this.clusterState = clusterState;
     this.lease = lease;
-    this.slots = slots;
-    this.booting = booting;
-    this.measured = measured;
+    this.slotManager = slotManager;
+    this.bootingMachines = bootingMachines;
+    this.passRunner = passRunner;
     this.coverage = coverage;
-    this.limit = new RecordSizeLimit(settings.store().valueBytes());
+    this.sizeLimit = new RecordSizeLimit(settings.store().valueBytes());
     this.bounds =
         new Planner.Bounds(
-            limit,
+            sizeLimit,
             settings.store().txnOps() * 2,
-            Math.max(LEAST_JOBS, (int) (settings.store().writeRps() * PLANNED_AHEAD_S)));
-    this.book = new SchedulingState(loop, world, slots, settings, views, types, clock, coverage);
+            Math.max(MIN_PLANNED_JOBS, (int) (settings.store().writeRps() * PLANNED_AHEAD_S)));
+    this.schedulingState =
+        new SchedulingState(
+            loop, clusterState, slotManager, settings, views, machineTypes, clock, coverage);
     this.writer =
-        new PlanWriter(loop, store, world, slots, settings, views, book, limit, this::wake);
-    this.foreign = new FallbackProofWriter(loop, store, world, slots, book, acts, this::wake);
+        new PlanWriter(
+            loop,
+            store,
+            clusterState,
+            slotManager,
+            settings,
+            views,
+            schedulingState,
+            sizeLimit,
+            this::requestPass);
+    this.fallbackProofWriter =
+        new FallbackProofWriter(
+            loop, store, clusterState, slotManager, schedulingState, canAct, this::requestPass);
   }
 
-  /** What the last pass could not place, over all jobs. */
+  /** Returns the last pass's plan for all jobs; it is empty if this controller doesn't plan. */
   public Plan lastPlan() {
     return plan;
   }
 
-  /** What the last pass looked at. */
+  /** Returns what the last pass planned from; it is empty if this controller doesn't plan. */
   public Snapshot lastSnapshot() {
     return snapshot;
   }
 
-  /** Asks for a pass soon; many causes make one pass. */
-  public void wake() {
-    wakeIn(gap(REST));
+  /** Requests a pass soon; several requests lead to a single pass. */
+  public void requestPass() {
+    schedulePass(delayToNextPass(PAUSE_FACTOR));
   }
 
-  private Duration gap(int rest) {
-    Duration gap = slots.isPlanner() ? lastPassTook.multipliedBy(rest + 1) : LOOK_GAP;
-    // While a start lasts, each word of the machines opens room that others have waited for; and the
-    // first passes, of a process that is still cold, take a tenth of a second.
-    gap = coverage.isWaiting(loop.now()) && gap.compareTo(START_GAP) > 0 ? START_GAP : gap;
-    gap = gap.compareTo(LONGEST_REST) > 0 ? LONGEST_REST : gap;
-    return (gap.compareTo(MIN_GAP) > 0 ? gap : MIN_GAP).minus(loop.now().minus(lastPass));
+  private Duration delayToNextPass(int pauseFactor) {
+    Duration interval =
+        slotManager.isPlanner()
+            ? lastPassDuration.multipliedBy(pauseFactor + 1)
+            : NON_PLANNER_INTERVAL;
+    // During startup, each status update of a machine adds capacity that jobs have waited for, and
+    // the first passes take a tenth of a second each, because the process is not warmed up yet.
+    interval =
+        coverage.isWaiting(loop.now()) && interval.compareTo(STARTUP_INTERVAL) > 0
+            ? STARTUP_INTERVAL
+            : interval;
+    interval = interval.compareTo(MAX_PASS_INTERVAL) > 0 ? MAX_PASS_INTERVAL : interval;
+    return (interval.compareTo(MIN_PASS_INTERVAL) > 0 ? interval : MIN_PASS_INTERVAL)
+        .minus(loop.now().minus(lastPass));
   }
 
-  private void wakeIn(Duration delay) {
+  private void schedulePass(Duration delay) {
     Duration wait = delay.compareTo(Duration.ofMillis(2)) < 0 ? Duration.ofMillis(2) : delay;
     Duration at = loop.now().plus(wait);
     if (nextPass != null) {
@@ -155,55 +189,55 @@
             wait,
             () -> {
               nextPass = null;
-              measured.accept(this::pass);
+              passRunner.accept(this::runPass);
             });
   }
 
-  private void pass() {
+  private void runPass() {
     lastPass = loop.now();
     if (!lease.valid()) {
       return;
     }
-    if (slots.isPlanner() != planned) {
-      planned = !planned;
-      book.startAnew(planned);
-      coverage.reset(planned ? world.revision() : -1, lastPass);
+    if (slotManager.isPlanner() != planning) {
+      planning = !planning;
+      schedulingState.reset(planning);
+      coverage.reset(planning ? clusterState.revision() : -1, lastPass);
     }
-    book.refresh();
-    if (planned) {
-      snapshot = book.snapshot(booting.get());
-      plan = Planner.plan(snapshot, book.rooms(), bounds);
-      Duration again = writer.write(plan);
-      if (again != null) {
-        Duration gap = gap(REST);
-        wakeIn(again.compareTo(gap) > 0 ? again : gap);
+    schedulingState.refresh();
+    if (planning) {
+      snapshot = schedulingState.snapshot(bootingMachines.get());
+      plan = Planner.plan(snapshot, schedulingState.clusterCapacity(), bounds);
+      Duration retryDelay = writer.write(plan);
+      if (retryDelay != null) {
+        Duration passDelay = delayToNextPass(PAUSE_FACTOR);
+        schedulePass(retryDelay.compareTo(passDelay) > 0 ? retryDelay : passDelay);
       }
     } else {
-      snapshot = NOTHING;
-      plan = NO_PLAN;
+      snapshot = EMPTY_SNAPSHOT;
+      plan = EMPTY_PLAN;
     }
-    foreign.absorb();
-    lastPassTook = loop.now().minus(lastPass);
+    fallbackProofWriter.applyOverdueProofs();
+    lastPassDuration = loop.now().minus(lastPass);
   }
 
   /**
-   * Records changed. Only what these changes concern is looked at again by the next pass: to go
-   * through all jobs and machines each time is what a large cluster can't afford.
+   * Called when records have changed. The next pass evaluates only the affected jobs and machines
+   * again, because going through all of them each time takes too long in a large cluster.
    */
-  public void touched(ClusterStateDelta touched) {
-    book.touched(touched, planned);
-    for (String id : touched.jobs()) {
-      Job job = world.job(id);
-      if (job != null && job.record().attempt() == 0 && slots.holds(job.slot())) {
-        wakeIn(gap(SHORT_REST));
+  public void onClusterStateChange(ClusterStateDelta delta) {
+    schedulingState.onClusterStateChange(delta, planning);
+    for (String id : delta.jobs()) {
+      Job job = clusterState.job(id);
+      if (job != null && job.record().attempt() == 0 && slotManager.holds(job.slot())) {
+        schedulePass(delayToNextPass(ARRIVAL_PAUSE_FACTOR));
       }
     }
   }
 
-  /** A machine's owner has told something new of it; {@code old} is what was known before, or null. */
-  public void viewChanged(MachineView old, MachineView view) {
-    if (book.viewChanged(old, view)) {
-      wake();
+  /** Called when a machine's owner has published a view; {@code old} is the last one or null. */
+  public void onViewChange(MachineView old, MachineView view) {
+    if (schedulingState.onViewChange(old, view)) {
+      requestPass();
     }
   }
 }
--- a/src/main/java/io/tansystack/jobs/JobStateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/JobStateBuilder.java
@@ -12,53 +12,63 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a pass sees of a job: its record, how long it has waited, and whether it seems to be at fault. */
+/**
+ * Builds the state of a job that a pass plans from: its record, how long it has waited, and whether
+ * the job itself seems to be faulty.
+ */
 final class JobStateBuilder {
-  /** Users expect the largest jobs to begin within four minutes. */
-  private static final Duration DUE = Duration.ofSeconds(150);
+  /**
+   * Age at which a job that was never placed must not wait much longer: users expect the largest
+   * jobs to begin within four minutes.
+   */
+  private static final Duration DUE_AFTER = Duration.ofSeconds(150);
 
-  private static final long USUAL_PATIENCE_MS = 1000;
-  private static final long LONGEST_PATIENCE_MS = 2000;
+  private static final long DEFAULT_PREEMPTION_DELAY_MS = 1000;
+  private static final long MAX_PREEMPTION_DELAY_MS = 2000;
 
   private final FailureTracker failures;
   private final FleetCoverage coverage;
   private final Deadlines deadlines;
 
-  /** How long a job waits for others to end by themselves before it has them stopped, by class. */
-  private final Map<String, Long> patienceMs = new HashMap<>();
+  /**
+   * By job class, how long a job waits for other jobs' tasks to end by themselves before it may
+   * preempt them.
+   */
+  private final Map<String, Long> preemptionDelayMs = new HashMap<>();
 
   JobStateBuilder(List<Objective> objectives, FailureTracker failures, FleetCoverage coverage) {
     this.failures = failures;
     this.coverage = coverage;
     this.deadlines = new Deadlines(objectives);
-    for (Objective aim : objectives) {
-      if (aim.kind().equals("wait") && aim.jobClass() != null) {
-        long part = aim.within().toMillis() * 2 / 5;
-        patienceMs.put(aim.jobClass(), Math.min(LONGEST_PATIENCE_MS, part));
+    for (Objective objective : objectives) {
+      if (objective.kind().equals("wait") && objective.jobClass() != null) {
+        long delayMs = objective.within().toMillis() * 2 / 5;
+        preemptionDelayMs.put(objective.jobClass(), Math.min(MAX_PREEMPTION_DELAY_MS, delayMs));
       }
     }
   }
 
   /**
-   * @param pending whether a write of the job is under way
-   * @param wallMs the time of day
+   * @param pending whether a write of the job is in flight
+   * @param wallMs the wall-clock time
    */
-  JobState of(String id, JobRecord record, boolean pending, Duration now, long wallMs) {
+  JobState build(String id, JobRecord record, boolean pending, Duration now, long wallMs) {
     JobSpec spec = record.spec();
     long ageMs = wallMs - record.submittedMs();
-    boolean impatient =
-        ageMs >= patienceMs.getOrDefault(spec.jobClass(), USUAL_PATIENCE_MS) && coverage.covers(spec);
-    // Of a service nothing ever completes, so failures alone say too little of it.
+    boolean mayPreempt =
+        ageMs >= preemptionDelayMs.getOrDefault(spec.jobClass(), DEFAULT_PREEMPTION_DELAY_MS)
+            && coverage.covers(spec);
+    // Tasks of a service never complete, so failures alone do not show that a service is faulty.
     boolean suspected =
-        failures.suspected(id) && record.done().isEmpty() && spec.shape() != JobKind.SERVICE;
+        failures.isSuspected(id) && record.done().isEmpty() && spec.shape() != JobKind.SERVICE;
     return new JobState(
         id,
         record,
-        !pending && !failures.pauses(id, now),
-        impatient,
+        !pending && !failures.isBackingOff(id, now),
+        mayPreempt,
         suspected,
         record.active() ? deadlines.missedObjectives(record, wallMs) : 0,
-        failures.avoid(id, now),
-        record.untouched() && ageMs >= DUE.toMillis());
+        failures.excludedMachines(id, now),
+        record.untouched() && ageMs >= DUE_AFTER.toMillis());
   }
 }
--- a/src/main/java/io/tansystack/jobs/JobUpdateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/JobUpdateBuilder.java
@@ -22,82 +22,90 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** What a plan and the proofs found so far lead to: the next records of this controller's jobs. */
+/** Builds the next records of this controller's jobs from a plan and the proofs known so far. */
 final class JobUpdateBuilder {
   /**
-   * What is to be written of a job.
+   * The next record of a job, ready to be written.
    *
-   * @param needed under which conditions, as of the plan: it may be written some transactions later
+   * @param conditions what must still hold when it is written, as of the plan: other transactions
+   *     may be written first
+   * @param places whether it adds placements
+   * @param ends whether it changes the job's phase
    */
   record JobUpdate(
-      Job job, JobRecord next, List<Condition> needed, boolean places, boolean ends) {
+      Job job, JobRecord next, List<Condition> conditions, boolean places, boolean ends) {
     JobSpec spec() {
       return job.record().spec();
     }
   }
 
-  /** So many placements of replicas are written before one of anything else. */
-  private static final int REPLICAS_IN_A_ROW = 3;
+  /** Number of updates that place replicas before one other update is written. */
+  private static final int CONSECUTIVE_REPLICAS = 3;
 
-  private final ClusterState world;
-  private final SlotManager slots;
+  private final ClusterState clusterState;
+  private final SlotManager slotManager;
   private final Function<String, MachineView> views;
-  private final SchedulingState book;
-  private final RecordSizeLimit limit;
+  private final SchedulingState schedulingState;
+  private final RecordSizeLimit sizeLimit;
   private final Plan plan;
 
   JobUpdateBuilder(
-      ClusterState world,
-      SlotManager slots,
+      ClusterState clusterState,
+      SlotManager slotManager,
       Function<String, MachineView> views,
-      SchedulingState book,
-      RecordSizeLimit limit,
+      SchedulingState schedulingState,
+      RecordSizeLimit sizeLimit,
       Plan plan) {
-    this.world = world;
-    this.slots = slots;
+    this.clusterState = clusterState;
+    this.slotManager = slotManager;
     this.views = views;
-    this.book = book;
-    this.limit = limit;
+    this.schedulingState = schedulingState;
+    this.sizeLimit = sizeLimit;
     this.plan = plan;
   }
 
-  /** Most urgent first. */
-  List<JobUpdate> all() {
-    List<JobUpdate> drafts = new ArrayList<>();
-    for (String id : concerned()) {
-      Job job = world.job(id);
-      JobRecord known = book.effective().get(id);
-      if (job == null || known == null || !slots.holds(job.slot()) || book.isPending(id)) {
+  /** Returns the updates of all jobs whose records have to change, most urgent first. */
+  List<JobUpdate> build() {
+    List<JobUpdate> updates = new ArrayList<>();
+    for (String id : affectedJobs()) {
+      Job job = clusterState.job(id);
+      JobRecord effective = schedulingState.effective().get(id);
+      if (job == null
+          || effective == null
+          || !slotManager.holds(job.slot())
+          || schedulingState.isPending(id)) {
         continue;
       }
-      JobUpdate draft = draft(job, known);
-      if (!draft.next().equals(job.record())) {
-        drafts.add(draft);
+      JobUpdate update = buildUpdate(job, effective);
+      if (!update.next().equals(job.record())) {
+        updates.add(update);
       }
     }
-    return inTurn(drafts);
+    return inWriteOrder(updates);
   }
 
   /**
-   * Replicas that users wait for come first: a swarm of small jobs that end must not hold them up. But one
-   * write in a few is for what comes next in order, or where the write limit is used up for minutes by
-   * many small services nothing else would begin, beside machines that stand idle for it.
+   * Sorts updates into the order in which they are written. Replicas that users wait for come
+   * first, because a large number of small jobs that end must not delay them. But after
+   * {@link #CONSECUTIVE_REPLICAS} of them one other update follows. Otherwise, while many small
+   * services use up the write limit for minutes, no other job would begin, although machines are
+   * idle.
    */
-  static List<JobUpdate> inTurn(List<JobUpdate> drafts) {
-    drafts.sort(
-        Comparator.comparing((JobUpdate draft) -> !draft.ends())
-            .thenComparing(draft -> draft.spec().priority())
-            .thenComparing(draft -> !draft.places())
-            .thenComparingLong(draft -> draft.job().record().submittedMs()));
+  static List<JobUpdate> inWriteOrder(List<JobUpdate> updates) {
+    updates.sort(
+        Comparator.comparing((JobUpdate update) -> !update.ends())
+            .thenComparing(update -> update.spec().priority())
+            .thenComparing(update -> !update.places())
+            .thenComparingLong(update -> update.job().record().submittedMs()));
     ArrayDeque<JobUpdate> replicas = new ArrayDeque<>();
     ArrayDeque<JobUpdate> others = new ArrayDeque<>();
-    for (JobUpdate draft : drafts) {
-      boolean replica = draft.places() && draft.spec().priority() == Priority.PRODUCTION;
-      (replica ? replicas : others).add(draft);
+    for (JobUpdate update : updates) {
+      boolean replica = update.places() && update.spec().priority() == Priority.PRODUCTION;
+      (replica ? replicas : others).add(update);
     }
-    List<JobUpdate> order = new ArrayList<>(drafts.size());
+    List<JobUpdate> order = new ArrayList<>(updates.size());
     while (!replicas.isEmpty()) {
-      for (int i = 0; i < REPLICAS_IN_A_ROW && !replicas.isEmpty(); i++) {
+      for (int i = 0; i < CONSECUTIVE_REPLICAS && !replicas.isEmpty(); i++) {
         order.add(replicas.poll());
       }
       if (!others.isEmpty()) {
@@ -108,44 +116,51 @@
     return order;
   }
 
-  /** Jobs whose records may have to change: by the plan, by a proof, or since a machine is recalled. */
-  private Set<String> concerned() {
+  /**
+   * Returns the jobs whose records may have to change: by the plan, by a proof, or because the
+   * cloud takes one of their machines away.
+   */
+  private Set<String> affectedJobs() {
     Set<String> ids = new LinkedHashSet<>(plan.placements().keySet());
     ids.addAll(plan.evictions().keySet());
-    ids.addAll(book.proven());
-    ids.addAll(book.recalled());
+    ids.addAll(schedulingState.jobsWithProofs());
+    ids.addAll(schedulingState.jobsOnReclaimedMachines());
     return ids;
   }
 
-  private JobUpdate draft(Job job, JobRecord known) {
-    List<JobRecord.Assignment> round = plan.placements().getOrDefault(job.id(), List.of());
-    boolean places = !round.isEmpty();
-    boolean ends = known.phase() != job.record().phase();
-    JobRecord next = stopped(job.id(), known);
+  private JobUpdate buildUpdate(Job job, JobRecord effective) {
+    List<JobRecord.Assignment> assignments = plan.placements().getOrDefault(job.id(), List.of());
+    boolean places = !assignments.isEmpty();
+    boolean ends = effective.phase() != job.record().phase();
+    JobRecord next = withEvictions(job.id(), effective);
     if (places) {
-      next = next.placed(round);
+      next = next.placed(assignments);
     }
-    if (!limit.allows(next)) {
-      // Stops that split its parts have made it too long to be written; it shrinks as they end.
-      next = known;
+    if (!sizeLimit.allows(next)) {
+      // Evictions that split placements in two have made the record too long to be written. It
+      // shrinks as the evicted tasks end.
+      next = effective;
       places = false;
     }
     return new JobUpdate(job, next, conditions(job, places), places, ends);
   }
 
-  private JobRecord stopped(String id, JobRecord record) {
+  private JobRecord withEvictions(String id, JobRecord record) {
     JobRecord next = record;
-    for (Plan.Eviction stop : plan.evictions().getOrDefault(id, List.of())) {
+    for (Plan.Eviction eviction : plan.evictions().getOrDefault(id, List.of())) {
       next =
           next.spec().shape() == JobKind.GANG
               ? next.allStopped()
-              : next.stopped(stop.machine(), stop.tasks());
+              : next.stopped(eviction.machine(), eviction.tasks());
     }
-    return stopBeforeRecall(next);
+    return stopBeforeReclaim(next);
   }
 
-  /** Work that can save itself is stopped in order when the cloud takes its machine away. */
-  private JobRecord stopBeforeRecall(JobRecord record) {
+  /**
+   * Stops tasks that can save a checkpoint in an orderly way when the cloud is about to take their
+   * machine away.
+   */
+  private JobRecord stopBeforeReclaim(JobRecord record) {
     if (!record.active() || record.spec().checkpointS() <= 0) {
       return record;
     }
@@ -163,27 +178,33 @@
   }
 
   private List<Condition> conditions(Job job, boolean places) {
-    List<Condition> needed = new ArrayList<>();
-    needed.add(new Condition(ClusterState.slotKey(job.slot()), world.slot(job.slot()).version()));
-    needed.addAll(job.unchanged());
-    Set<String> machines = new HashSet<>();
+    List<Condition> conditions = new ArrayList<>();
+    conditions.add(
+        new Condition(ClusterState.slotKey(job.slot()), clusterState.slot(job.slot()).version()));
+    conditions.addAll(job.unchanged());
+    Set<String> referencedKeys = new HashSet<>();
     if (places) {
-      for (JobRecord.Assignment part : plan.placements().get(job.id())) {
-        if (machines.add(ClusterState.machineKey(part.machine()))) {
-          needed.add(world.machine(part.machine()).condition());
+      for (JobRecord.Assignment assignment : plan.placements().get(job.id())) {
+        if (referencedKeys.add(ClusterState.machineKey(assignment.machine()))) {
+          conditions.add(clusterState.machine(assignment.machine()).condition());
         }
       }
     }
-    addProofConditions(book.proofs(job.id()), machines, needed);
-    return needed;
+    addProofConditions(schedulingState.proofs(job.id()), referencedKeys, conditions);
+    return conditions;
   }
 
-  /** The conditions under which the proofs hold, but for those on keys named already. */
+  /**
+   * Adds the conditions under which the proofs hold, except for keys that are referenced already.
+   *
+   * @param proofs null for none
+   * @param referencedKeys keys that have a condition; added to
+   */
   static void addProofConditions(
-      TerminationProofs proofs, Set<String> named, List<Condition> conditions) {
+      TerminationProofs proofs, Set<String> referencedKeys, List<Condition> conditions) {
     if (proofs != null) {
       for (Condition condition : proofs.conditions()) {
-        if (named.add(condition.key())) {
+        if (referencedKeys.add(condition.key())) {
           conditions.add(condition);
         }
       }
--- a/src/main/java/io/tansystack/jobs/MachineStateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/MachineStateBuilder.java
@@ -13,48 +13,51 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** What a pass sees of a machine, from its record and from what its owner tells of it. */
+/** Builds the state of a machine that a pass plans from, from its record and its owner's view. */
 final class MachineStateBuilder {
-  private static final Duration PATIENCE = Duration.ofMillis(500);
+  /** Added to two and a half report intervals; a machine silent for longer gets no new tasks. */
+  private static final Duration SILENCE_MARGIN = Duration.ofMillis(500);
 
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final Function<String, MachineView> views;
-  private final Function<String, MachineType> types;
-  private final long patienceMs;
+  private final Function<String, MachineType> machineTypes;
+  private final long maxSilentMs;
 
-  /** @param report how often workers report */
+  /** @param reportInterval how often workers report */
   MachineStateBuilder(
-      ClusterState world,
+      ClusterState clusterState,
       Function<String, MachineView> views,
-      Function<String, MachineType> types,
-      Duration report) {
-    this.world = world;
+      Function<String, MachineType> machineTypes,
+      Duration reportInterval) {
+    this.clusterState = clusterState;
     this.views = views;
-    this.types = types;
-    this.patienceMs = report.multipliedBy(5).dividedBy(2).plus(PATIENCE).toMillis();
+    this.machineTypes = machineTypes;
+    this.maxSilentMs = reportInterval.multipliedBy(5).dividedBy(2).plus(SILENCE_MARGIN).toMillis();
   }
 
   /**
-   * Null for a machine of a type that is not known.
+   * Returns the state of a machine; null if its type is not known.
    *
-   * @param faulty whether work had better go elsewhere
+   * @param faulty whether tasks should be placed elsewhere
    */
-  MachineState of(MachineRecord record, boolean faulty) {
-    MachineType type = types.apply(record.type());
-    return type == null ? null : of(record, type, views.apply(record.name()), faulty);
+  MachineState build(MachineRecord record, boolean faulty) {
+    MachineType type = machineTypes.apply(record.type());
+    return type == null ? null : build(record, type, views.apply(record.name()), faulty);
   }
 
-  private MachineState of(
+  private MachineState build(
       MachineRecord record, MachineType type, MachineView view, boolean faulty) {
-    Set<String> coming = new HashSet<>();
-    double queued = 0;
+    Set<String> fetchingImages = new HashSet<>();
+    double queuedGb = 0;
     if (view != null) {
       for (TaskReport task : view.report().tasks()) {
         if (task.state() == TaskReport.State.FETCHING) {
-          Job job = world.job(task.task().job());
+          Job job = clusterState.job(task.task().job());
           JobSpec spec = job == null ? null : job.record().spec();
-          if (spec != null && !view.images().containsKey(spec.image()) && coming.add(spec.image())) {
-            queued += spec.imageGb();
+          if (spec != null
+              && !view.images().containsKey(spec.image())
+              && fetchingImages.add(spec.image())) {
+            queuedGb += spec.imageGb();
           }
         }
       }
@@ -63,12 +66,12 @@
         view != null
             && !record.drain()
             && !faulty
-            && world.alive(record.owner())
-            && view.token() == world.token(record)
-            && view.report().token() > 0 // Else a late copy of a report may be all there is of it.
+            && clusterState.alive(record.owner())
+            && view.token() == clusterState.token(record)
+            && view.report().token() > 0 // Else the only report may be a delayed copy.
             && view.report().noticeS() == null
             && !view.responsesLost()
-            && view.silentMs() < patienceMs;
+            && view.silentMs() < maxSilentMs;
     return new MachineState(
         record.name(),
         type,
@@ -78,9 +81,11 @@
         open,
         record.drain(),
         view == null ? Set.of() : view.images().keySet(),
-        coming,
-        queued,
-        view != null && view.fetchGbPerS() > 0 ? view.fetchGbPerS() : Math.max(0.01, type.fetchGbPerS()),
+        fetchingImages,
+        queuedGb,
+        view != null && view.fetchGbPerS() > 0
+            ? view.fetchGbPerS()
+            : Math.max(0.01, type.fetchGbPerS()),
         view != null && view.slowness() > 0 ? view.slowness() : 1);
   }
 }
--- a/src/main/java/io/tansystack/jobs/PlanWriter.java
+++ b/src/main/java/io/tansystack/jobs/PlanWriter.java
@@ -30,354 +30,370 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes what a pass has decided for this controller's slots, most urgent first, as the write limit
- * allows: several jobs a transaction, since placements of a team with a limit share one write of its
- * record, and each such transaction waits for the one before.
+ * Writes what a pass has decided for the jobs in this controller's slots, most urgent first, as the
+ * write limit allows. One transaction updates several jobs, because placements for a team with a
+ * limit share one write of the team's record, and each such transaction waits for the one before.
  */
 final class PlanWriter {
   private static final Logger log = LoggerFactory.getLogger(PlanWriter.class);
 
-  /** What is to be tried again soon is tried after this. */
-  static final Duration SOON = Duration.ofMillis(40);
+  /** Delay until the next pass if write budget is lacking; also the minimum pass interval. */
+  static final Duration RETRY_DELAY = Duration.ofMillis(40);
 
   /**
-   * What waits for the write limit is looked at again after this, without another pass. A budget holds one
-   * second's worth, so nothing of it is lost, and every transaction is told to all controllers.
+   * Delay after which updates that wait for write budget are tried again without another pass. The
+   * budget holds one second's worth of writes, so this delay wastes none of it, and a shorter one
+   * would lead to more transactions, each of which is published to all controllers.
    */
-  private static final Duration WRITE_AGAIN = Duration.ofMillis(500);
+  private static final Duration BUDGET_RETRY_DELAY = Duration.ofMillis(500);
 
-  /** Progress of arrays that places nothing and ends nothing may use so much of the write limit. */
+  /** Share of the write limit for updates of arrays that add no placements and end nothing. */
   private static final double PROGRESS_SHARE = 0.08;
 
-  /** What has ended stays in workers' reports until its progress is written, so it is before this. */
-  private static final Duration LONGEST_PROGRESS_GAP = Duration.ofSeconds(15);
+  /** Maximum interval of progress updates: ended tasks stay in reports until one is written. */
+  private static final Duration MAX_PROGRESS_INTERVAL = Duration.ofSeconds(15);
 
-  /** A round that adds less than this part of what an array has running is a small one, */
-  private static final int LITTLE = 10;
+  /** A round is small if it adds less than the array's number of placed tasks divided by this. */
+  private static final int SMALL_ROUND_DIVISOR = 10;
 
-  /** and follows the last one after so many times the usual gap. */
-  private static final int LITTLE_WAITS = 4;
+  /** A small round follows the last round after this many times the usual interval. */
+  private static final int SMALL_ROUND_INTERVALS = 4;
 
-  /** Where a team's record is to be written, transactions are gathered until so many writes are free. */
-  private static final int ENOUGH_FOR_TEAM = 8;
+  /** At most this many available writes are awaited before a team's record is written. */
+  private static final int TEAM_BATCH_WRITES = 8;
 
-  /** Of the 64 KiB that a transaction may have; the rest is for its conditions. */
+  /** Maximum size of the records; the rest of a transaction's 64 KiB is for its conditions. */
   private static final int MAX_BYTES = 56 << 10;
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
-  private final SlotManager slots;
+  private final ClusterState clusterState;
+  private final SlotManager slotManager;
   private final Function<String, MachineView> views;
-  private final SchedulingState book;
-  private final RecordSizeLimit limit;
+  private final SchedulingState schedulingState;
+  private final RecordSizeLimit sizeLimit;
   private final int maxConditions;
-  private final Runnable wake;
+  private final Runnable requestPass;
   private final int maxWrites;
   private final List<Team> teams;
   private final double writesPerSecond;
   private final Map<String, Duration> lastWrite = new HashMap<>();
 
-  /** Jobs whose last transaction failed: a reason of their own must not keep those with them from theirs. */
-  private final Set<String> alone = new HashSet<>();
+  /** Jobs whose last transaction failed; written alone, so that no others fail with them. */
+  private final Set<String> writeIndividually = new HashSet<>();
 
   private final Set<String> teamsInFlight = new HashSet<>();
-  private final Duration arrayGap;
+  private final Duration arrayInterval;
   private Plan plan;
-  private Duration progressGap = Duration.ZERO;
-  private boolean timed;
+  private Duration progressInterval = Duration.ZERO;
+  private boolean retryScheduled;
 
-  /** What the plan has left to write, most urgent first. */
-  private List<JobUpdate> left = List.of();
+  /** Updates of the plan that are not written yet, most urgent first. */
+  private List<JobUpdate> remaining = List.of();
 
-  /** Revisions of this controller's last writes of teams' records; the copy shows them a little later. */
-  private final Map<String, Long> teamWritten = new HashMap<>();
+  /** Revisions of this controller's last writes of team records; the cache shows them later. */
+  private final Map<String, Long> writtenTeamVersions = new HashMap<>();
 
-  /** The versions of teams' records that all placements which the plan knows of have led to. */
-  private final Map<String, Long> teamPlanned = new HashMap<>();
+  /** Versions of team records that result from all placements known to the plan. */
+  private final Map<String, Long> plannedTeamVersions = new HashMap<>();
 
-  /** @param wake asks for another pass */
   PlanWriter(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
-      SlotManager slots,
+      ClusterState clusterState,
+      SlotManager slotManager,
       PlatformSettings settings,
       Function<String, MachineView> views,
-      SchedulingState book,
-      RecordSizeLimit limit,
-      Runnable wake) {
+      SchedulingState schedulingState,
+      RecordSizeLimit sizeLimit,
+      Runnable requestPass) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
-    this.slots = slots;
+    this.clusterState = clusterState;
+    this.slotManager = slotManager;
     this.views = views;
-    this.book = book;
-    this.limit = limit;
+    this.schedulingState = schedulingState;
+    this.sizeLimit = sizeLimit;
     this.maxConditions = settings.store().txnOps() * 4;
     this.maxWrites = settings.store().txnOps();
     this.teams = settings.teams();
     this.writesPerSecond = settings.store().writeRps();
-    this.wake = wake;
-    // Several arrays run at a time: each may use a part of the write limit only.
-    this.arrayGap = Duration.ofMillis((long) (20_000 / writesPerSecond));
+    this.requestPass = requestPass;
+    // Several arrays run at a time, so each may use only a twentieth of the write limit.
+    this.arrayInterval = Duration.ofMillis((long) (20_000 / writesPerSecond));
   }
 
-  /** Writes the plan's rounds; tells after how long what was left is due, or null if nothing was. */
+  /**
+   * Writes a plan's updates as far as the write budget allows. Returns after how long updates that
+   * are not due yet or lack budget need another pass; null if there are none.
+   */
   Duration write(Plan next) {
     plan = next;
-    teamPlanned.clear();
+    plannedTeamVersions.clear();
     for (Team team : teams) {
-      long written = teamWritten.getOrDefault(team.name(), 0L);
-      teamPlanned.put(team.name(), Math.max(written, world.teamVersion(team.name())));
+      long written = writtenTeamVersions.getOrDefault(team.name(), 0L);
+      plannedTeamVersions.put(
+          team.name(), Math.max(written, clusterState.teamVersion(team.name())));
     }
-    lastWrite.keySet().retainAll(book.effective().keySet());
-    alone.retainAll(book.effective().keySet());
-    progressGap = progressGap();
-    left = new JobUpdateBuilder(world, slots, views, book, limit, plan).all();
-    return writeLeft();
+    lastWrite.keySet().retainAll(schedulingState.effective().keySet());
+    writeIndividually.retainAll(schedulingState.effective().keySet());
+    progressInterval = progressInterval();
+    remaining =
+        new JobUpdateBuilder(clusterState, slotManager, views, schedulingState, sizeLimit, plan)
+            .build();
+    return writeRemaining();
   }
 
-  private Duration writeLeft() {
-    Duration again = null;
+  private Duration writeRemaining() {
+    Duration retryDelay = null;
     List<JobUpdate> ready = new ArrayList<>();
     List<JobUpdate> later = new ArrayList<>();
-    for (JobUpdate draft : left) {
-      if (world.job(draft.job().id()) != draft.job() || book.isPending(draft.job().id())) {
-        continue; // It has changed since: the next plan knows how.
+    for (JobUpdate update : remaining) {
+      if (clusterState.job(update.job().id()) != update.job()
+          || schedulingState.isPending(update.job().id())) {
+        continue; // The job has changed since the plan; the next plan takes that into account.
       }
-      Duration due = dueIn(draft);
-      if (draft.needed().size() >= maxConditions) {
-        log.error("job={} needs {} conditions, too many", draft.job().id(), draft.needed().size());
+      Duration due = dueIn(update);
+      if (update.conditions().size() >= maxConditions) {
+        log.error(
+            "job={} is not written: it needs {} conditions, too many for a transaction",
+            update.job().id(),
+            update.conditions().size());
       } else if (due.isNegative()) {
-        ready.add(draft);
+        ready.add(update);
       } else {
-        again = again == null || due.compareTo(again) < 0 ? due : again;
+        retryDelay = retryDelay == null || due.compareTo(retryDelay) < 0 ? due : retryDelay;
       }
     }
     while (!ready.isEmpty()) {
       JobUpdate first = ready.get(0);
-      if (limited(first) && teamsInFlight.contains(first.spec().team())) {
+      if (hasTeamLimit(first) && teamsInFlight.contains(first.spec().team())) {
         later.add(ready.remove(0));
         continue;
       }
-      if (store.spare() < worthwhile(ready)) {
-        again = SOON;
-        writeAgain();
+      if (store.spare() < minBatchSize(ready)) {
+        retryDelay = RETRY_DELAY;
+        scheduleRetry();
         break;
       }
-      Round round = new Round();
-      round.fill(ready);
-      round.send();
+      PlanTransaction transaction = new PlanTransaction();
+      transaction.fill(ready);
+      transaction.send();
     }
     later.addAll(ready);
-    left = later;
-    return again;
+    remaining = later;
+    return retryDelay;
   }
 
   /**
-   * The limit leaves room for more writes before the next pass, which may be long or come late, and what was
-   * not written in the meantime could not be made up for.
+   * Schedules another run of {@link #writeRemaining} before the next pass. That pass may take long
+   * or start late, and write budget that is not used in the meantime is lost.
    */
-  private void writeAgain() {
-    if (!timed) {
-      timed = true;
+  private void scheduleRetry() {
+    if (!retryScheduled) {
+      retryScheduled = true;
       loop.after(
-          WRITE_AGAIN,
+          BUDGET_RETRY_DELAY,
           () -> {
-            timed = false;
-            writeLeft();
+            retryScheduled = false;
+            writeRemaining();
           });
     }
   }
 
-  /** After how long the draft may be written; negative for now. */
-  private Duration dueIn(JobUpdate draft) {
-    Duration last = lastWrite.get(draft.job().id());
-    if (draft.spec().shape() != JobKind.ARRAY || draft.ends() || last == null) {
+  /** Returns after how long the update may be written; negative if it may be written now. */
+  private Duration dueIn(JobUpdate update) {
+    Duration last = lastWrite.get(update.job().id());
+    if (update.spec().shape() != JobKind.ARRAY || update.ends() || last == null) {
       return Duration.ofNanos(-1);
     }
-    return last.plus(draft.places() ? placingGap(draft) : progressGap).minus(loop.now());
+    return last.plus(update.places() ? placementInterval(update) : progressInterval)
+        .minus(loop.now());
   }
 
   /**
-   * So many writes have to be free for the next transaction. Where the limit is used up and each went out
-   * as soon as it could, every single placement would take a write of its team's record along.
+   * Returns how many writes must be available before the next transaction is sent. If transactions
+   * were sent as soon as possible while the write limit is used up, every single placement would
+   * need another write of its team's record.
    */
-  private int worthwhile(List<JobUpdate> ready) {
-    if (!limited(ready.get(0))) {
+  private int minBatchSize(List<JobUpdate> ready) {
+    if (!hasTeamLimit(ready.get(0))) {
       return 1;
     }
-    return Math.max(2, Math.min(Math.min(ENOUGH_FOR_TEAM, store.halfSpare()), ready.size() + 1));
+    return Math.max(2, Math.min(Math.min(TEAM_BATCH_WRITES, store.halfSpare()), ready.size() + 1));
   }
 
-  /** What adds little to a running array waits for more: room comes free for it task by task. */
-  private Duration placingGap(JobUpdate draft) {
-    int running = draft.job().record().placedCount();
-    int more = draft.next().placedCount() - running;
-    return more * LITTLE < running ? arrayGap.multipliedBy(LITTLE_WAITS) : arrayGap;
+  /** Small rounds of a running array wait longer: capacity becomes free for it task by task. */
+  private Duration placementInterval(JobUpdate update) {
+    int running = update.job().record().placedCount();
+    int added = update.next().placedCount() - running;
+    return added * SMALL_ROUND_DIVISOR < running
+        ? arrayInterval.multipliedBy(SMALL_ROUND_INTERVALS)
+        : arrayInterval;
   }
 
   /**
-   * All arrays together may write their progress so often. What has ended makes room and is planned with
-   * at once, written or not.
+   * Returns the interval between progress updates of an array, such that all arrays together keep
+   * to {@link #PROGRESS_SHARE}. Plans use the capacity of ended tasks at once, whether or not the
+   * progress is written.
    */
-  private Duration progressGap() {
+  private Duration progressInterval() {
     long arrays =
-        book.effective().values().stream()
+        schedulingState.effective().values().stream()
             .filter(
-                r ->
-                    r.active()
-                        && r.spec().shape() == JobKind.ARRAY
-                        && !r.placements().isEmpty())
+                r -> r.active() && r.spec().shape() == JobKind.ARRAY && !r.placements().isEmpty())
             .count();
-    Duration gap = Duration.ofMillis((long) (arrays * 1000 / (writesPerSecond * PROGRESS_SHARE)));
-    Duration shortest = arrayGap.multipliedBy(2);
-    gap = gap.compareTo(shortest) < 0 ? shortest : gap;
-    return gap.compareTo(LONGEST_PROGRESS_GAP) < 0 ? gap : LONGEST_PROGRESS_GAP;
+    Duration interval =
+        Duration.ofMillis((long) (arrays * 1000 / (writesPerSecond * PROGRESS_SHARE)));
+    Duration minInterval = arrayInterval.multipliedBy(2);
+    interval = interval.compareTo(minInterval) < 0 ? minInterval : interval;
+    return interval.compareTo(MAX_PROGRESS_INTERVAL) < 0 ? interval : MAX_PROGRESS_INTERVAL;
   }
 
-  /** Whether it places something for a team that has a limit. */
-  private boolean limited(JobUpdate draft) {
-    JobSpec spec = draft.spec();
-    Team team = book.team(spec.team());
-    return draft.places()
+  /** Whether the update adds placements that count towards a team's limit. */
+  private boolean hasTeamLimit(JobUpdate update) {
+    JobSpec spec = update.spec();
+    Team team = schedulingState.team(spec.team());
+    return update.places()
         && team != null
         && ((team.cpusMax() > 0 && spec.cpus() > 0) || (team.gpusMax() > 0 && spec.gpus() > 0));
   }
 
   /**
-   * A transaction. It holds only if the slots are still ours, the records are as they were planned on,
-   * every machine chosen still has the owner and token that were seen, and, for teams with a limit, if
-   * nobody else has placed anything for the team since: its record is rewritten with every placement.
-   * What this controller has written since the plan was part of it.
+   * A transaction with the updates of one or more jobs. It succeeds only if this controller still
+   * holds the slots, the job records are those that were planned from, every chosen machine still
+   * has the owner and token that the plan saw, and, for teams with a limit, no other controller has
+   * placed anything for the team since: the team's record is rewritten with every placement. Writes
+   * of this controller since the plan are part of that plan and don't count as changes.
    */
-  private final class Round {
-    private final List<JobUpdate> parts = new ArrayList<>();
-    private final Set<String> named = new HashSet<>();
+  private final class PlanTransaction {
+    private final List<JobUpdate> updates = new ArrayList<>();
+    private final Set<String> keys = new HashSet<>();
     private final List<Condition> conditions = new ArrayList<>();
     private final Set<String> teams = new HashSet<>();
-    private final int room = store.spare();
+    private final int availableWrites = store.spare();
     private int bytes;
 
     /**
-     * Takes the most urgent draft, then those of its team, which cost one write each, and of the others as
-     * many as there is room for. One whose last transaction failed goes alone.
+     * Takes the most urgent update, then those of its team, which need one write each, then as many
+     * of the others as fit. An update whose last transaction failed is sent alone.
      */
     void fill(List<JobUpdate> ready) {
       JobUpdate first = ready.remove(0);
       add(first);
-      if (alone.contains(first.job().id())) {
+      if (writeIndividually.contains(first.job().id())) {
         return;
       }
       String team = first.spec().team();
-      takeFrom(ready, draft -> draft.spec().team().equals(team));
-      takeFrom(ready, draft -> !limited(draft) || !teamsInFlight.contains(draft.spec().team()));
+      addMatching(ready, u -> u.spec().team().equals(team));
+      addMatching(ready, u -> !hasTeamLimit(u) || !teamsInFlight.contains(u.spec().team()));
     }
 
-    private void takeFrom(List<JobUpdate> ready, Predicate<JobUpdate> which) {
+    private void addMatching(List<JobUpdate> ready, Predicate<JobUpdate> filter) {
       for (Iterator<JobUpdate> it = ready.iterator(); it.hasNext(); ) {
-        JobUpdate draft = it.next();
-        if (which.test(draft) && !alone.contains(draft.job().id()) && takes(draft)) {
-          add(draft);
+        JobUpdate update = it.next();
+        if (filter.test(update) && !writeIndividually.contains(update.job().id()) && fits(update)) {
+          add(update);
           it.remove();
         }
       }
     }
 
-    /** Whether there is room for one more. */
-    boolean takes(JobUpdate draft) {
-      int writes = parts.size() + teams.size() + 1;
-      int team = limited(draft) && !teams.contains(draft.spec().team()) ? 1 : 0;
-      long more = team + draft.needed().stream().filter(k -> !named.contains(k.key())).count();
-      return writes + team <= Math.min(room, maxWrites)
-          && conditions.size() + more <= maxConditions
-          && bytes + limit.longest(draft.next()) <= MAX_BYTES;
+    /** Whether the update can be added within the limits of a transaction and of the budget. */
+    boolean fits(JobUpdate update) {
+      int writes = updates.size() + teams.size() + 1;
+      int teamWrites = hasTeamLimit(update) && !teams.contains(update.spec().team()) ? 1 : 0;
+      long addedConditions =
+          teamWrites + update.conditions().stream().filter(k -> !keys.contains(k.key())).count();
+      return writes + teamWrites <= Math.min(availableWrites, maxWrites)
+          && conditions.size() + addedConditions <= maxConditions
+          && bytes + sizeLimit.longest(update.next()) <= MAX_BYTES;
     }
 
-    void add(JobUpdate draft) {
-      parts.add(draft);
-      bytes += limit.longest(draft.next());
-      for (Condition condition : draft.needed()) {
-        if (named.add(condition.key())) {
+    void add(JobUpdate update) {
+      updates.add(update);
+      bytes += sizeLimit.longest(update.next());
+      for (Condition condition : update.conditions()) {
+        if (keys.add(condition.key())) {
           conditions.add(condition);
         }
       }
-      String team = draft.spec().team();
-      if (limited(draft) && teams.add(team)) {
-        conditions.add(new Condition(ClusterState.teamKey(team), teamPlanned.get(team)));
+      String team = update.spec().team();
+      if (hasTeamLimit(update) && teams.add(team)) {
+        conditions.add(new Condition(ClusterState.teamKey(team), plannedTeamVersions.get(team)));
       }
     }
 
     void send() {
       List<Write> writes = new ArrayList<>();
-      for (JobUpdate draft : parts) {
-        String id = draft.job().id();
-        writes.add(new Write(ClusterState.jobKey(id), draft.next().write(), 0));
+      for (JobUpdate update : updates) {
+        String id = update.job().id();
+        writes.add(new Write(ClusterState.jobKey(id), update.next().write(), 0));
         lastWrite.put(id, loop.now());
-        book.writing(draft.job(), draft.next());
-        report(draft);
+        schedulingState.writeStarted(update.job(), update.next());
+        logUpdate(update);
       }
       for (String team : teams) {
-        String last = parts.get(parts.size() - 1).job().id();
+        String last = updates.get(updates.size() - 1).job().id();
         writes.add(new Write(ClusterState.teamKey(team), Cbor.map().put("job", last), 0));
       }
       teamsInFlight.addAll(teams);
       store.reserve(writes.size());
-      store.commitReserved(conditions, writes, this::sent);
+      store.commitReserved(conditions, writes, this::onResult);
     }
 
-    private void sent(CommitResult result, long revision) {
+    private void onResult(CommitResult result, long revision) {
       teamsInFlight.removeAll(teams);
       if (result != CommitResult.DONE) {
         if (result == CommitResult.CONFLICT || result == CommitResult.MALFORMED) {
-          parts.forEach(draft -> alone.add(draft.job().id()));
+          updates.forEach(update -> writeIndividually.add(update.job().id()));
         }
-        log.debug("write of {} jobs result={}", parts.size(), result);
-        // After silence the write may still come; a pause lets the copy show it first.
+        log.debug("write of {} jobs result={}", updates.size(), result);
+        // Without a response the write may still be applied; a pause lets the cache show it first.
         loop.after(
             result == CommitResult.UNKNOWN ? Duration.ofMillis(500) : Duration.ofMillis(30),
             () -> {
-              parts.forEach(draft -> book.dropped(draft.job().id()));
-              wake.run();
+              updates.forEach(update -> schedulingState.discardWrite(update.job().id()));
+              requestPass.run();
             });
         return;
       }
-      for (JobUpdate draft : parts) {
-        alone.remove(draft.job().id());
-        book.written(draft.job().id(), revision);
-        if (draft.ends()) {
-          log.info("over job={} phase={}", draft.job().id(), draft.next().phase());
+      for (JobUpdate update : updates) {
+        writeIndividually.remove(update.job().id());
+        schedulingState.writeCommitted(update.job().id(), revision);
+        if (update.ends()) {
+          log.info("over job={} phase={}", update.job().id(), update.next().phase());
         }
       }
       for (String team : teams) {
-        teamWritten.put(team, revision);
-        teamPlanned.put(team, revision);
+        writtenTeamVersions.put(team, revision);
+        plannedTeamVersions.put(team, revision);
       }
-      writeLeft();
-      wake.run();
+      writeRemaining();
+      requestPass.run();
     }
   }
 
-  private void report(JobUpdate draft) {
-    String id = draft.job().id();
-    DroppedPlacementLog.log(id, book.proofs(id), world.revision());
-    for (Plan.Eviction stop : plan.evictions().getOrDefault(id, List.of())) {
-      if (stop.isMove()) {
-        book.movedOff(id, stop.machine());
+  private void logUpdate(JobUpdate update) {
+    String id = update.job().id();
+    DroppedPlacementLog.log(id, schedulingState.proofs(id), clusterState.revision());
+    for (Plan.Eviction eviction : plan.evictions().getOrDefault(id, List.of())) {
+      if (eviction.isMove()) {
+        schedulingState.replicaMigrated(id, eviction.machine());
       }
       log.info(
           "preempt job={} tasks={} machine={} for={}",
           id,
-          stop.tasks(),
-          stop.machine(),
-          stop.reason());
+          eviction.tasks(),
+          eviction.machine(),
+          eviction.reason());
     }
-    if (draft.places() && log.isInfoEnabled()) {
-      log.info("place job={} attempt={} {}", id, draft.next().attempt(), plan.placements().get(id).stream()
-          .map(a -> a.machine() + "=" + a.tasks())
-          .toList());
+    if (update.places() && log.isInfoEnabled()) {
+      log.info(
+          "place job={} attempt={} {}",
+          id,
+          update.next().attempt(),
+          plan.placements().get(id).stream().map(a -> a.machine() + "=" + a.tasks()).toList());
     }
   }
-
 }
--- a/src/main/java/io/tansystack/jobs/ReclaimNotices.java
+++ b/src/main/java/io/tansystack/jobs/ReclaimNotices.java
@@ -6,15 +6,16 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The machines that the cloud is about to take away, as their workers report. */
+/** The machines that the cloud is about to take away, according to the reports of their workers. */
 final class ReclaimNotices {
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final Set<String> machines = new HashSet<>();
 
-  ReclaimNotices(ClusterState world) {
-    this.world = world;
+  ReclaimNotices(ClusterState clusterState) {
+    this.clusterState = clusterState;
   }
 
+  /** Updates the notice of a machine from its newest view. */
   void observe(MachineView view) {
     if (view.report().noticeS() != null) {
       machines.add(view.report().machine());
@@ -23,17 +24,17 @@
     }
   }
 
-  /** The machine is gone. */
+  /** Called when the machine is gone. */
   void forget(String machine) {
     machines.remove(machine);
   }
 
-  /** Jobs with something recorded on such a machine. */
-  Set<String> jobs() {
+  /** Returns the IDs of jobs with a recorded placement on such a machine. */
+  Set<String> affectedJobs() {
     Set<String> jobs = new HashSet<>();
     for (String machine : machines) {
-      for (IndexedPlacement placed : world.placedOn(machine)) {
-        jobs.add(placed.jobId());
+      for (IndexedPlacement placement : clusterState.placedOn(machine)) {
+        jobs.add(placement.jobId());
       }
     }
     return jobs;
--- a/src/main/java/io/tansystack/jobs/SchedulingState.java
+++ b/src/main/java/io/tansystack/jobs/SchedulingState.java
@@ -33,355 +33,364 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All jobs as they are planned from: each record with all proofs taken in and own writes that the copy
- * does not show yet. Kept up to date job by job and machine by machine, as changes name them.
+ * The jobs and machines that a pass plans from. Each job's record has all known proofs applied and
+ * includes this controller's own writes that the local cache does not show yet. It is kept up to
+ * date incrementally, for the jobs and machines that changes concern.
  */
 final class SchedulingState {
   private static final Logger log = LoggerFactory.getLogger(SchedulingState.class);
 
-  private record Pending(JobRecord record, long baseVersion, long revision) {}
+  /** A write that replaces {@code baseVersion} of a record; revision is 0 until it is committed. */
+  private record PendingWrite(JobRecord record, long baseVersion, long revision) {}
 
   private final EventLoop loop;
-  private final ClusterState world;
-  private final SlotManager slots;
+  private final ClusterState clusterState;
+  private final SlotManager slotManager;
   private final Function<String, MachineView> views;
   private final InstantSource clock;
   private final FleetCoverage coverage;
 
   private final JobStateBuilder jobStates;
   private final Map<String, Team> teams = new HashMap<>();
-  private final Map<String, Pending> pending = new HashMap<>();
+  private final Map<String, PendingWrite> pendingWrites = new HashMap<>();
   private final FailureTracker failures = new FailureTracker();
   private final Map<String, JobRecord> effective = new HashMap<>();
-  private final List<String> order = new ArrayList<>();
+  private final List<String> sortedJobs = new ArrayList<>();
 
-  /** Jobs that are to be sorted in. */
-  private final Set<String> arrived = new HashSet<>();
+  /** Jobs that are not yet inserted into {@link #sortedJobs}. */
+  private final Set<String> newJobs = new HashSet<>();
 
   private boolean orderChanged;
   private final Map<String, TerminationProofs> proofs = new HashMap<>();
-  private final ClusterCapacity rooms = new ClusterCapacity();
+  private final ClusterCapacity clusterCapacity = new ClusterCapacity();
   private final MachineStateBuilder machineStates;
 
-  /** Machines whose rooms are to be derived again, by the next pass. */
+  /** Machines whose capacity the next pass derives again. */
   private final Set<String> dirtyMachines = new HashSet<>();
 
-  private Set<String> faultyBefore = Set.of();
-  private final ReclaimNotices recalled;
-  private boolean typesMissing;
-  private boolean plans;
+  private Set<String> previouslyFaulty = Set.of();
+  private final ReclaimNotices reclaimNotices;
+  private boolean hasUnknownTypes;
+  private boolean planning;
 
-  /** Jobs of which nothing is to be placed, as they stay until something touches them. */
-  private final Map<String, JobState> settled = new HashMap<>();
+  /** States of jobs that have nothing to place; they stay the same until the job is changed. */
+  private final Map<String, JobState> cachedStates = new HashMap<>();
 
   private final Set<String> dirtyJobs = new HashSet<>();
   private final int maxProofConditions;
 
   SchedulingState(
       EventLoop loop,
-      ClusterState world,
-      SlotManager slots,
+      ClusterState clusterState,
+      SlotManager slotManager,
       PlatformSettings settings,
       Function<String, MachineView> views,
-      Function<String, MachineType> types,
+      Function<String, MachineType> machineTypes,
       InstantSource clock,
       FleetCoverage coverage) {
     this.loop = loop;
-    this.world = world;
-    this.slots = slots;
+    this.clusterState = clusterState;
+    this.slotManager = slotManager;
     this.views = views;
     this.clock = clock;
     this.coverage = coverage;
-    this.recalled = new ReclaimNotices(world);
+    this.reclaimNotices = new ReclaimNotices(clusterState);
     this.machineStates =
-        new MachineStateBuilder(world, views, types, settings.workers().report());
+        new MachineStateBuilder(clusterState, views, machineTypes, settings.workers().report());
     this.jobStates = new JobStateBuilder(settings.objectives(), failures, coverage);
     settings.teams().forEach(team -> teams.put(team.name(), team));
-    // Next to the machines chosen in a round, the slot, the record, that it is not over, and the team.
+    // Besides the machines chosen in a round, a transaction has conditions on the slot, the job's
+    // record, the absence of an archived outcome, and the team's record.
     this.maxProofConditions = Math.max(1, settings.store().txnOps() * 2 - 4);
   }
 
   /**
-   * Records changed. Only what these changes concern is looked at again by the next pass: to go
-   * through all jobs and machines each time is what a large cluster can't afford.
+   * Called when records have changed. The next pass evaluates only the affected jobs and machines
+   * again, because going through all of them each time takes too long in a large cluster.
    */
-  void touched(ClusterStateDelta touched, boolean planned) {
-    for (String id : touched.jobs()) {
-      Job job = world.job(id);
-      if (planned || job == null || proofs.containsKey(id)) {
-        dirtyJobs.add(id); // Who doesn't plan only looks for proofs that nobody takes in.
+  void onClusterStateChange(ClusterStateDelta delta, boolean nowPlanning) {
+    for (String id : delta.jobs()) {
+      Job job = clusterState.job(id);
+      if (nowPlanning || job == null || proofs.containsKey(id)) {
+        // A controller that doesn't plan only looks for proofs that a slot's holder does not apply.
+        dirtyJobs.add(id);
       }
     }
-    for (String machine : touched.machines()) {
-      touchedMachine(machine);
+    for (String machine : delta.machines()) {
+      onMachineChange(machine);
     }
-    if (touched.controllersChanged() && planned) {
-      markAll(); // Tokens, and whether a machine is open, depend on its owner's record.
+    if (delta.controllersChanged() && nowPlanning) {
+      markAllDirty(); // A machine's token and whether it is open depend on its owner's record.
     }
   }
 
   /**
-   * A machine's owner has told something new of it; {@code old} is what was known before, or null.
-   * Whether that is a reason for a pass.
+   * Called when a machine's owner has published a new view; {@code old} is the last one or null.
+   * Returns whether a pass is needed.
    */
-  boolean viewChanged(MachineView old, MachineView view) {
+  boolean onViewChange(MachineView old, MachineView view) {
     String machine = view.report().machine();
-    recalled.observe(view);
+    reclaimNotices.observe(view);
     if (old == null
         || old.token() != view.token()
         || old.report().session() != view.report().session()) {
-      touchedMachine(machine);
+      onMachineChange(machine);
       return true;
     }
-    markMachine(machine);
-    Set<String> concerned = view.jobsWithNewProofs(old);
-    dirtyJobs.addAll(concerned);
-    return !concerned.isEmpty();
+    markMachineDirty(machine);
+    Set<String> affected = view.jobsWithNewProofs(old);
+    dirtyJobs.addAll(affected);
+    return !affected.isEmpty();
   }
 
-  private void touchedMachine(String name) {
-    markMachine(name);
-    if (world.machine(name) == null) {
-      recalled.forget(name);
+  private void onMachineChange(String name) {
+    markMachineDirty(name);
+    if (clusterState.machine(name) == null) {
+      reclaimNotices.forget(name);
     }
-    for (PlacementIndex.IndexedPlacement placed : world.placedOn(name)) {
-      dirtyJobs.add(placed.job().id());
+    for (PlacementIndex.IndexedPlacement placement : clusterState.placedOn(name)) {
+      dirtyJobs.add(placement.job().id());
     }
   }
 
-  /** All jobs and machines are to be looked at again. */
-  void markAll() {
-    dirtyJobs.addAll(world.jobs().keySet());
-    markMachines();
+  /** Makes the next pass evaluate all jobs and machines again. */
+  void markAllDirty() {
+    dirtyJobs.addAll(clusterState.jobs().keySet());
+    markAllMachinesDirty();
   }
 
-  /** This controller has come to plan, or ceased to: nothing that was kept counts any more. */
-  void startAnew(boolean plansNow) {
-    plans = plansNow;
-    rooms.clear();
-    settled.clear();
+  /** Discards all derived states, because this controller has started or stopped planning. */
+  void reset(boolean nowPlanning) {
+    planning = nowPlanning;
+    clusterCapacity.clear();
+    cachedStates.clear();
     dirtyMachines.clear();
-    effective.values().forEach(record -> keepRooms(null, record));
-    markAll();
+    effective.values().forEach(record -> updateCapacity(null, record));
+    markAllDirty();
   }
 
-  /** Who doesn't plan keeps no rooms. */
-  private void keepRooms(JobRecord before, JobRecord after) {
-    if (plans) {
-      rooms.updateJob(before, after);
+  /** Updates the free capacity; a controller that doesn't plan does not track it. */
+  private void updateCapacity(JobRecord before, JobRecord after) {
+    if (planning) {
+      clusterCapacity.updateJob(before, after);
     }
   }
 
-  /** Looks again at what was marked, before a pass. */
+  /** Evaluates the jobs that are marked as dirty again; called before each pass. */
   void refresh() {
-    settlePending();
+    removeVisibleWrites();
     dirtyJobs.forEach(this::refresh);
     dirtyJobs.clear();
   }
 
-  /** Each job's record with all proofs taken in. */
+  /** Returns each job's record with all known proofs applied. */
   Map<String, JobRecord> effective() {
     return Collections.unmodifiableMap(effective);
   }
 
-  /** The proofs that a job's effective record has taken in; null for none. */
+  /** Returns the proofs that a job's effective record has applied; null for none. */
   TerminationProofs proofs(String id) {
     return proofs.get(id);
   }
 
-  /** The jobs of which there are proofs that their records don't show. */
-  Set<String> proven() {
+  /** Returns the jobs with proofs that their stored records have not applied. */
+  Set<String> jobsWithProofs() {
     return Collections.unmodifiableSet(proofs.keySet());
   }
 
-  /** Jobs with something on a machine that the cloud is about to take away. */
-  Set<String> recalled() {
-    return recalled.jobs();
+  /** Returns the jobs with placements on machines that the cloud is about to take away. */
+  Set<String> jobsOnReclaimedMachines() {
+    return reclaimNotices.affectedJobs();
   }
 
+  /** Returns the settings of a team; null if it is unknown. */
   Team team(String name) {
     return teams.get(name);
   }
 
-  /** Whether a write of the job is under way. */
+  /** Whether a write of the job is in flight or not yet shown by the cache. */
   boolean isPending(String id) {
-    return pending.containsKey(id);
+    return pendingWrites.containsKey(id);
   }
 
-  /** A write of the job is under way: until the copy shows it, the job counts as it was written. */
-  void writing(Job job, JobRecord next) {
-    pending.put(job.id(), new Pending(next, job.version(), 0));
-    settled.remove(job.id());
+  /** Called when a write is sent: until the cache shows it, the job counts as it was written. */
+  void writeStarted(Job job, JobRecord next) {
+    pendingWrites.put(job.id(), new PendingWrite(next, job.version(), 0));
+    cachedStates.remove(job.id());
     dirtyJobs.add(job.id());
   }
 
-  /** A replica of the job is being moved off the machine. */
-  void movedOff(String id, String machine) {
-    failures.movedOff(id, machine, loop.now());
-    settled.remove(id);
+  /** Called when a replica of the job is migrated off the machine. */
+  void replicaMigrated(String id, String machine) {
+    failures.recordMigration(id, machine, loop.now());
+    cachedStates.remove(id);
   }
 
-  /** The write has come true as of a revision. */
-  void written(String id, long revision) {
-    pending.computeIfPresent(id, (k, p) -> new Pending(p.record, p.baseVersion, revision));
+  /** Called when the write was committed at a revision. */
+  void writeCommitted(String id, long revision) {
+    pendingWrites.computeIfPresent(
+        id, (k, p) -> new PendingWrite(p.record, p.baseVersion, revision));
   }
 
-  /** The write has come to nothing, or nobody knows: the job counts as the copy shows it. */
-  void dropped(String id) {
-    pending.remove(id);
+  /** Forgets a write that failed or is of unknown outcome: the job counts as the cache shows it. */
+  void discardWrite(String id) {
+    pendingWrites.remove(id);
     dirtyJobs.add(id);
   }
 
-  /** Drops own writes that the copy of the records shows by now. */
-  private void settlePending() {
-    pending.entrySet().removeIf(
+  /** Discards pending writes that the cache shows by now or whose job is gone. */
+  private void removeVisibleWrites() {
+    pendingWrites.entrySet().removeIf(
         entry -> {
-          Pending p = entry.getValue();
-          boolean shown = p.revision > 0 && world.revision() >= p.revision;
-          boolean over = shown || world.job(entry.getKey()) == null;
-          if (over) {
+          PendingWrite p = entry.getValue();
+          boolean visible = p.revision > 0 && clusterState.revision() >= p.revision;
+          boolean obsolete = visible || clusterState.job(entry.getKey()) == null;
+          if (obsolete) {
             dirtyJobs.add(entry.getKey());
           }
-          return over;
+          return obsolete;
         });
   }
 
-  /** Takes the newest record of a job, with all proofs that are here, as what it is planned from. */
+  /** Derives the effective record of a job from its newest record and all known proofs. */
   private void refresh(String id) {
-    Job job = world.job(id);
-    settled.remove(id);
+    Job job = clusterState.job(id);
+    cachedStates.remove(id);
     if (job == null) {
       JobRecord last = effective.remove(id);
       orderChanged |= last != null;
-      keepRooms(last, null);
+      updateCapacity(last, null);
       proofs.remove(id);
       failures.forget(id);
       return;
     }
-    JobRecord record = current(job);
+    JobRecord record = currentRecord(job);
     TerminationProofs found =
         TerminationProofs.collect(
-            id, record, views, world::machine, world::token, maxProofConditions);
+            id, record, views, clusterState::machine, clusterState::token, maxProofConditions);
     if (found.ended().isEmpty()) {
       proofs.remove(id);
     } else {
       proofs.put(id, found);
-      if (slots.holds(job.slot())) {
-        remember(id, found);
+      if (slotManager.holds(job.slot())) {
+        recordOutcomes(id, found);
       }
       record = record.absorbed(found.ended());
     }
     JobRecord before = effective.put(id, record);
     if (before == null || (before.spec() == null) != (record.spec() == null)) {
       orderChanged = true;
-      arrived.add(id);
+      newJobs.add(id);
     }
-    keepRooms(before, record);
+    updateCapacity(before, record);
   }
 
-  /** The record as last written by this controller, while the copy doesn't show it yet. */
-  private JobRecord current(Job job) {
-    Pending p = pending.get(job.id());
+  /** Returns the record as this controller has written it, or as the cache shows it if newer. */
+  private JobRecord currentRecord(Job job) {
+    PendingWrite p = pendingWrites.get(job.id());
     return p != null && job.version() == p.baseVersion ? p.record : job.record();
   }
 
-  /** What a pass looks at; {@code booting} are machines about to come. */
-  Snapshot snapshot(List<MachineState> booting) {
+  /** Builds the input of a pass; {@code bootingMachines} are rented and not usable yet. */
+  Snapshot snapshot(List<MachineState> bootingMachines) {
     Duration now = loop.now();
-    failures.retain(world.machines().keySet());
-    coverage.recount(world.machines().values(), name -> views.apply(name) != null, now);
+    failures.retainMachines(clusterState.machines().keySet());
+    coverage.recount(clusterState.machines().values(), name -> views.apply(name) != null, now);
     refreshMachines(now);
     long wallMs = clock.millis();
     List<JobState> jobs = new ArrayList<>();
-    for (String id : inOrder()) {
-      JobState state = settled.get(id);
+    for (String id : jobsByArrival()) {
+      JobState state = cachedStates.get(id);
       if (state == null) {
-        state = jobStates.of(id, effective.get(id), pending.containsKey(id), now, wallMs);
-        if (!state.hasUnplacedTasks() && state.schedulable() && !failures.knows(id)) {
-          settled.put(id, state); // Nothing of it is to be placed, so time changes nothing.
+        state = jobStates.build(id, effective.get(id), pendingWrites.containsKey(id), now, wallMs);
+        if (!state.hasUnplacedTasks() && state.schedulable() && !failures.isTracked(id)) {
+          cachedStates.put(id, state); // It has nothing to place, so time does not change it.
         }
       }
       jobs.add(state);
     }
-    return new Snapshot(rooms.machines(), booting, jobs, teams, coverage.coversAll());
+    return new Snapshot(
+        clusterCapacity.machines(), bootingMachines, jobs, teams, coverage.coversAll());
   }
 
-  /** The rooms that hold the records which the last snapshot shows. */
-  ClusterCapacity rooms() {
-    return rooms;
+  /** Returns the capacity of the machines with the placements that the last snapshot shows. */
+  ClusterCapacity clusterCapacity() {
+    return clusterCapacity;
   }
 
-  /** Derives what changed of the machines; a suspicion ends by time alone. */
+  /** Derives changed machines and those that are or were faulty, as faults end by time alone. */
   private void refreshMachines(Duration now) {
     Set<String> faulty = failures.faulty(now);
     dirtyMachines.addAll(faulty);
-    dirtyMachines.addAll(faultyBefore);
-    faultyBefore = faulty;
+    dirtyMachines.addAll(previouslyFaulty);
+    previouslyFaulty = faulty;
     for (String name : dirtyMachines) {
-      MachineRecord record = world.machine(name);
-      MachineState state = record == null ? null : machineStates.of(record, faulty.contains(name));
+      MachineRecord record = clusterState.machine(name);
+      MachineState state =
+          record == null ? null : machineStates.build(record, faulty.contains(name));
       if (state == null) {
-        rooms.removeMachine(name);
-        typesMissing |= record != null;
+        clusterCapacity.removeMachine(name);
+        hasUnknownTypes |= record != null;
       } else {
-        rooms.updateMachine(state);
+        clusterCapacity.updateMachine(state);
       }
     }
     dirtyMachines.clear();
-    if (typesMissing) {
-      typesMissing = false;
-      markMachines(); // Its type may be known by the next pass.
+    if (hasUnknownTypes) {
+      hasUnknownTypes = false;
+      markAllMachinesDirty(); // The missing types may be known by the next pass.
     }
   }
 
-  private void markMachines() {
-    world.machines().keySet().forEach(this::markMachine);
-    rooms.machineNames().forEach(this::markMachine);
+  private void markAllMachinesDirty() {
+    clusterState.machines().keySet().forEach(this::markMachineDirty);
+    clusterCapacity.machineNames().forEach(this::markMachineDirty);
   }
 
-  private void markMachine(String name) {
-    if (plans) {
+  private void markMachineDirty(String name) {
+    if (planning) {
       dirtyMachines.add(name);
     }
   }
 
-  /** By arrival: the planner sorts what is sorted already, which costs little. */
-  private List<String> inOrder() {
+  /** Sorted by submission time, so that the planner's own sorting costs little. */
+  private List<String> jobsByArrival() {
     if (orderChanged) {
-      // What was sorted stays so; only what has come is sorted in.
-      order.removeIf(id -> arrived.contains(id) || !isPlannedFor(id));
-      arrived.stream().filter(this::isPlannedFor).forEach(order::add);
-      arrived.clear();
-      order.sort(
+      // The other jobs stay in order, so that only new ones have to be moved into place.
+      sortedJobs.removeIf(id -> newJobs.contains(id) || !isPlannedFor(id));
+      newJobs.stream().filter(this::isPlannedFor).forEach(sortedJobs::add);
+      newJobs.clear();
+      sortedJobs.sort(
           Comparator.comparingLong((String id) -> effective.get(id).submittedMs())
               .thenComparing(Comparator.naturalOrder()));
       orderChanged = false;
     }
-    return order;
+    return sortedJobs;
   }
 
-  /** Whether a pass looks at the job: of one that is over only the outcome is left. */
+  /** Whether passes plan for the job: of a finished job only the outcome is left. */
   private boolean isPlannedFor(String id) {
     JobRecord record = effective.get(id);
     return record != null && record.spec() != null;
   }
 
-  private void remember(String job, TerminationProofs found) {
+  /** Records successes and failures, which show whether jobs or machines are faulty. */
+  private void recordOutcomes(String job, TerminationProofs found) {
     Duration now = loop.now();
-    for (JobRecord.EndedAttempt over : found.ended()) {
-      if (over.done()) {
-        failures.succeeded(job, over.machine());
+    for (JobRecord.EndedAttempt ended : found.ended()) {
+      if (ended.done()) {
+        failures.recordSuccess(job, ended.machine());
       }
     }
-    boolean before = failures.suspected(job);
+    boolean wasSuspected = failures.isSuspected(job);
     for (TerminationProofs.Failure f : found.failures()) {
-      if (failures.failed(job, f.task(), f.attempt(), f.machine(), f.cause(), now)) {
+      if (failures.recordFailure(job, f.task(), f.attempt(), f.machine(), f.cause(), now)) {
         log.debug(
             "failed task={}/{} machine={} cause={}", job, f.task(), f.machine(), f.cause());
       }
     }
-    if (!before && failures.suspected(job)) {
-      log.warn("suspected job={}: it fails on every machine and is tried seldom from now on", job);
+    if (!wasSuspected && failures.isSuspected(job)) {
+      log.warn("suspected job={}: it fails on several machines and is retried less often", job);
     }
   }
 }
--- a/src/main/java/io/tansystack/jobs/SubmissionHandler.java
+++ b/src/main/java/io/tansystack/jobs/SubmissionHandler.java
@@ -24,85 +24,88 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Accepts jobs, or says why not: what is malformed, known already, or can never run. */
+/**
+ * Validates and accepts submitted jobs. Rejects those that are malformed or can never run, and
+ * answers repeated submissions with the state of the job.
+ */
 final class SubmissionHandler {
   private static final Logger log = LoggerFactory.getLogger(SubmissionHandler.class);
 
   private final EventLoop loop;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final PlatformSettings settings;
   private final InstantSource clock;
-  private final Supplier<Collection<MachineType>> types;
+  private final Supplier<Collection<MachineType>> machineTypes;
   private final JobLookup lookup;
-  private final SubmissionWriter intake;
-  private final RecordSizeLimit limit;
+  private final SubmissionWriter submissionWriter;
+  private final RecordSizeLimit sizeLimit;
 
   SubmissionHandler(
       EventLoop loop,
-      ClusterState world,
+      ClusterState clusterState,
       PlatformSettings settings,
       InstantSource clock,
-      Supplier<Collection<MachineType>> types,
+      Supplier<Collection<MachineType>> machineTypes,
       JobLookup lookup,
-      SubmissionWriter intake) {
+      SubmissionWriter submissionWriter) {
     this.loop = loop;
-    this.world = world;
+    this.clusterState = clusterState;
     this.settings = settings;
     this.clock = clock;
-    this.types = types;
+    this.machineTypes = machineTypes;
     this.lookup = lookup;
-    this.intake = intake;
-    this.limit = new RecordSizeLimit(settings.store().valueBytes());
+    this.submissionWriter = submissionWriter;
+    this.sizeLimit = new RecordSizeLimit(settings.store().valueBytes());
   }
 
-  /** {@code POST /v1/jobs}. */
-  void submit(byte[] body, TrackedReply once) {
+  /** Serves {@code POST /v1/jobs}. */
+  void submit(byte[] body, TrackedReply reply) {
     ObjectNode map;
     String id;
     try {
       map = Cbor.decodeMap(body);
       id = FieldReader.text(map, "Uid");
     } catch (InvalidMessageException e) {
-      once.send(400, Responses.error(e.getMessage()));
+      reply.send(400, Responses.error(e.getMessage()));
       return;
     }
     if (!JobSpec.validId(id)) {
-      once.send(400, Responses.error("Uid: not of the form wk-000412"));
+      reply.send(400, Responses.error("Uid: not of the form wk-000412"));
       return;
     }
-    if (world.finalPhase(id) != null) {
-      once.send(200, Responses.job(id, world.finalPhase(id).state()));
+    if (clusterState.finalPhase(id) != null) {
+      reply.send(200, Responses.job(id, clusterState.finalPhase(id).state()));
       return;
     }
     JobSpec spec;
     try {
       spec = JobSpec.read(map);
     } catch (InvalidMessageException e) {
-      answerKnown(id, 400, e.getMessage(), once);
+      answerIfKnown(id, 400, e.getMessage(), reply);
       return;
     }
-    if (world.job(id) != null) {
-      answerKnown(id, 0, null, once);
+    if (clusterState.job(id) != null) {
+      answerIfKnown(id, 0, null, reply);
       return;
     }
-    Collection<MachineType> known = types.get();
-    if (known.isEmpty()) {
-      once.unsure("machine types are not known yet");
+    Collection<MachineType> knownTypes = machineTypes.get();
+    if (knownTypes.isEmpty()) {
+      reply.sendUnavailable("machine types are not known yet");
       return;
     }
-    String impossible = impossible(spec, settings.team(spec.team()), known);
-    if (impossible == null && spec.shape() != JobKind.ARRAY) {
-      impossible = unholdable(spec, known);
+    String reason = whyImpossible(spec, settings.team(spec.team()), knownTypes);
+    if (reason == null && spec.shape() != JobKind.ARRAY) {
+      reason = whyUnrecordable(spec, knownTypes);
     }
-    if (impossible != null) {
-      answerKnown(id, 422, impossible, once);
+    if (reason != null) {
+      answerIfKnown(id, 422, reason, reply);
       return;
     }
-    if (!limit.accepts(spec)) {
-      answerKnown(id, 422, "the description is too long to be recorded", once);
+    if (!sizeLimit.accepts(spec)) {
+      answerIfKnown(id, 422, "the description is too long to be recorded", reply);
       return;
     }
-    intake.accept(
+    submissionWriter.accept(
         JobRecord.created(spec, clock.millis()),
         result -> {
           switch (result) {
@@ -114,16 +117,16 @@
                   spec.shape(),
                   spec.priority(),
                   spec.tasks());
-              once.send(201, Responses.job(id, JobStatus.PENDING));
+              reply.send(201, Responses.job(id, JobStatus.PENDING));
             }
-            case CONFLICT -> answerKnown(id, 0, null, once);
-            default -> once.unsure("the state service did not confirm");
+            case CONFLICT -> answerIfKnown(id, 0, null, reply);
+            default -> reply.sendUnavailable("the state service did not confirm");
           }
         });
   }
 
-  /** Why the job can never run; null if it can. */
-  private static String impossible(JobSpec spec, Team team, Collection<MachineType> types) {
+  /** Returns why the job can never run; null if it can. */
+  private static String whyImpossible(JobSpec spec, Team team, Collection<MachineType> types) {
     if (team == null) {
       return "Crew: unknown team";
     }
@@ -139,57 +142,72 @@
     if (zones.isEmpty()) {
       return "a task fits no allowed machine type";
     }
-    int atOnce = spec.sameZone() ? 1 : zones.size();
-    if (spec.shape() == JobKind.GANG && (long) spec.zoneCap() * atOnce < spec.tasks()) {
-      return "Scatter: its tasks run together or not at all, and may not all stand in one zone";
+    int usableZones = spec.sameZone() ? 1 : zones.size();
+    if (spec.shape() == JobKind.GANG && (long) spec.zoneCap() * usableZones < spec.tasks()) {
+      return "Scatter: a gang's tasks must run at the same time, but may not all be in one zone";
     }
-    int together = spec.shape() == JobKind.ARRAY ? 1 : spec.tasks();
-    if ((team.cpusMax() > 0 && spec.cpus() * together > team.cpusMax() + 1e-6)
-        || (team.gpusMax() > 0 && spec.gpus() * together > team.gpusMax() + 1e-6)) {
+    int concurrentTasks = spec.shape() == JobKind.ARRAY ? 1 : spec.tasks();
+    if ((team.cpusMax() > 0 && spec.cpus() * concurrentTasks > team.cpusMax() + 1e-6)
+        || (team.gpusMax() > 0 && spec.gpus() * concurrentTasks > team.gpusMax() + 1e-6)) {
       return "needs more than the team's limit";
     }
     return null;
   }
 
-  /** Tasks that have to run at once must be recorded at once, and a record holds so many only. */
-  private String unholdable(JobSpec spec, Collection<MachineType> types) {
-    int most = 0;
+  /**
+   * Returns why the placements of a gang or service can't be recorded; null if they can. Tasks that
+   * must run at the same time must be recorded together, and a record's size is limited.
+   */
+  private String whyUnrecordable(JobSpec spec, Collection<MachineType> types) {
+    int maxPerMachine = 0;
     for (MachineType type : types) {
-      most = Math.max(most, spec.allowsType(type.name()) ? type.capacityFor(spec) : 0);
+      maxPerMachine =
+          Math.max(maxPerMachine, spec.allowsType(type.name()) ? type.capacityFor(spec) : 0);
     }
-    int machines = (spec.tasks() + most - 1) / most;
-    int held = limit.placedAtOnce(spec);
+    int machines = (spec.tasks() + maxPerMachine - 1) / maxPerMachine;
+    int maxMachines = sizeLimit.placedAtOnce(spec);
     if (spec.shape() == JobKind.GANG) {
-      held = Math.min(held, settings.store().txnOps() * 2);
+      maxMachines = Math.min(maxMachines, settings.store().txnOps() * 2);
     }
-    return machines <= held
+    return machines <= maxMachines
         ? null
-        : "needs at least " + machines + " machines at once; " + held + " can be recorded";
+        : "needs at least "
+            + machines
+            + " machines at once; at most "
+            + maxMachines
+            + " can be recorded";
   }
 
-  /** A job that was accepted once is answered for ever, whatever the body of a repetition holds. */
-  private void answerKnown(String id, int statusIfUnknown, String why, TrackedReply once) {
+  /**
+   * Answers with the state of the job if it was accepted before, whatever the body of the repeated
+   * submission contains. This holds for every job that was ever accepted.
+   *
+   * @param statusIfUnknown the status for a job that was not accepted; 0 if the job appeared to be
+   *     known, in which case the user is asked to try again
+   * @param error the message for that status
+   */
+  private void answerIfKnown(String id, int statusIfUnknown, String error, TrackedReply reply) {
     lookup.find(
         id,
         loop.now(),
         new LookupCallback() {
           @Override
-          public void take(JobRecord record, long version) {
-            once.send(200, Responses.job(id, record.state()));
+          public void found(JobRecord record, long version) {
+            reply.send(200, Responses.job(id, record.state()));
           }
 
           @Override
           public void absent() {
             if (statusIfUnknown != 0) {
-              once.send(statusIfUnknown, Responses.error(why));
+              reply.send(statusIfUnknown, Responses.error(error));
             } else {
-              once.unsure("try again");
+              reply.sendUnavailable("try again");
             }
           }
 
           @Override
-          public void unsure(String reason) {
-            once.unsure(reason);
+          public void unavailable(String reason) {
+            reply.sendUnavailable(reason);
           }
         });
   }
--- a/src/main/java/io/tansystack/jobs/SubmissionWriter.java
+++ b/src/main/java/io/tansystack/jobs/SubmissionWriter.java
@@ -18,124 +18,140 @@
 import java.util.function.Consumer;
 
 /**
- * Writes accepted jobs. One that comes alone gets its record at once; those that come faster than a
- * part of the write limit allows are gathered, and one record accepts several of them: where a whole
- * day's work is submitted at once, a write for each would keep everything else waiting.
+ * Writes accepted jobs. A job that arrives alone gets its individual record at once. Jobs that
+ * arrive faster than a part of the write limit allows are batched, and one record accepts several
+ * of them: when a whole day's work is submitted at once, one write per job would delay everything
+ * else.
  */
 final class SubmissionWriter {
-  private static final Duration WAIT = Duration.ofMillis(2500);
+  /** How long a transaction may wait for write budget. */
+  private static final Duration MAX_QUEUE_TIME = Duration.ofMillis(2500);
 
-  /** What comes within this of a first one shares its record. */
-  private static final Duration GATHER = Duration.ofMillis(10);
+  /** Jobs that arrive within this time after a first one are written with it. */
+  private static final Duration BATCH_DELAY = Duration.ofMillis(10);
 
-  private static final Duration RETRY = Duration.ofMillis(25);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(25);
 
-  /** All submissions together leave this much of the write limit to others while they are gathered, */
-  private static final double SHARE = 0.5;
+  /**
+   * Share of the write limit for the submissions of all controllers together while they are
+   * batched; the rest is left to other writes.
+   */
+  private static final double WRITE_SHARE = 0.5;
 
-  /** but nobody is kept waiting for others longer than this. */
-  private static final Duration LONGEST = Duration.ofMillis(120);
+  /**
+   * Maximum interval between batches of a controller, even if that takes more than {@link
+   * #WRITE_SHARE}, so that no submission waits longer than this for others.
+   */
+  private static final Duration MAX_WRITE_INTERVAL = Duration.ofMillis(120);
 
-  /** Of a value, the rest for the names around its entries. */
-  private static final double FILLED = 0.9;
+  /** Share of a value's maximum size for its entries; the rest is for the names around them. */
+  private static final double MAX_FILL = 0.9;
 
-  private record Waiting(JobRecord record, int size, Consumer<CommitResult> then) {}
+  /** @param size the record's size in JSON, with a separator */
+  private record PendingSubmission(JobRecord record, int size, Consumer<CommitResult> callback) {}
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final String boot;
-  private final RateBudget pace;
+  private final String incarnation;
+  private final RateBudget budget;
   private final int maxJobs;
   private final int maxSize;
-  private final ArrayDeque<Waiting> gathered = new ArrayDeque<>();
-  private boolean timed;
-  private long counter;
+  private final ArrayDeque<PendingSubmission> pending = new ArrayDeque<>();
+  private boolean flushScheduled;
+  private long batchCounter;
 
-  /** @param boot this start of the process: names of intakes begin with it */
-  SubmissionWriter(EventLoop loop, StoreClient store, PlatformSettings settings, String boot) {
+  /** @param incarnation the process incarnation ID, with which names of submission batches begin */
+  SubmissionWriter(
+      EventLoop loop, StoreClient store, PlatformSettings settings, String incarnation) {
     this.loop = loop;
     this.store = store;
-    this.boot = boot;
+    this.incarnation = incarnation;
     PlatformSettings.StateServiceLimits limits = settings.store();
     double perSecond =
-        Math.max(limits.writeRps() * SHARE / settings.size(), 1000.0 / LONGEST.toMillis());
-    this.pace = new RateBudget(perSecond, Math.max(2, perSecond), loop.now());
-    // Two conditions for each job, and one for the record itself.
+        Math.max(
+            limits.writeRps() * WRITE_SHARE / settings.size(),
+            1000.0 / MAX_WRITE_INTERVAL.toMillis());
+    this.budget = new RateBudget(perSecond, Math.max(2, perSecond), loop.now());
+    // A transaction has two conditions for each job and one for the batch record itself.
     this.maxJobs = (limits.txnOps() * 4 - 1) / 2;
-    this.maxSize = (int) (limits.valueBytes() * FILLED);
+    this.maxSize = (int) (limits.valueBytes() * MAX_FILL);
   }
 
-  /** Accepts a job; {@code CONFLICT} if it is known already. The caller bounds how many wait. */
-  void accept(JobRecord record, Consumer<CommitResult> then) {
-    gathered.add(new Waiting(record, Cbor.jsonSize(record.write()) + 1, then));
-    flushIn(GATHER);
+  /**
+   * Accepts a job; the result is {@code CONFLICT} if it is known already. The caller limits how
+   * many submissions wait at the same time.
+   */
+  void accept(JobRecord record, Consumer<CommitResult> callback) {
+    pending.add(new PendingSubmission(record, Cbor.jsonSize(record.write()) + 1, callback));
+    scheduleFlush(BATCH_DELAY);
   }
 
-  private void flushIn(Duration delay) {
-    if (!timed) {
-      timed = true;
+  private void scheduleFlush(Duration delay) {
+    if (!flushScheduled) {
+      flushScheduled = true;
       loop.after(
           delay,
           () -> {
-            timed = false;
+            flushScheduled = false;
             flush();
           });
     }
   }
 
   private void flush() {
-    while (!gathered.isEmpty() && pace.take(1, true, loop.now())) {
-      List<Waiting> batch = new ArrayList<>();
+    while (!pending.isEmpty() && budget.take(1, true, loop.now())) {
+      List<PendingSubmission> batch = new ArrayList<>();
       int size = 0;
-      while (!gathered.isEmpty()
+      while (!pending.isEmpty()
           && batch.size() < maxJobs
-          && (batch.isEmpty() || size + gathered.peek().size <= maxSize)) {
-        size += gathered.peek().size;
-        batch.add(gathered.poll());
+          && (batch.isEmpty() || size + pending.peek().size <= maxSize)) {
+        size += pending.peek().size;
+        batch.add(pending.poll());
       }
       if (batch.size() == 1) {
-        alone(batch.get(0));
+        writeIndividually(batch.get(0));
       } else {
-        together(batch);
+        writeBatch(batch);
       }
     }
-    if (!gathered.isEmpty()) {
-      flushIn(RETRY);
+    if (!pending.isEmpty()) {
+      scheduleFlush(RETRY_DELAY);
     }
   }
 
-  private void alone(Waiting one) {
-    String key = ClusterState.jobKey(one.record.spec().id());
-    ObjectNode value = one.record.write();
+  private void writeIndividually(PendingSubmission submission) {
+    String key = ClusterState.jobKey(submission.record.spec().id());
+    ObjectNode value = submission.record.write();
     store.commitUrgent(
-        ClusterState.unchanged(one.record.spec().id(), 0),
+        ClusterState.unchanged(submission.record.spec().id(), 0),
         List.of(new Write(key, value, 0)),
-        WAIT,
-        (result, revision) -> one.then.accept(result));
+        MAX_QUEUE_TIME,
+        (result, revision) -> submission.callback.accept(result));
   }
 
   /**
-   * One that has a record of its own already makes the whole transaction fail; each is then tried by
-   * itself. One that stands in another's intake doesn't: that one is the earlier and counts.
+   * Accepts several jobs with one record. If one of them already has an individual record or an
+   * archived outcome, the whole transaction fails, and each job is then written individually. A job
+   * that is in another submission batch does not make it fail: the earlier batch counts.
    */
-  private void together(List<Waiting> batch) {
-    String key = ClusterState.submissionBatchKey(boot + "-" + counter++);
+  private void writeBatch(List<PendingSubmission> batch) {
+    String key = ClusterState.submissionBatchKey(incarnation + "-" + batchCounter++);
     List<Condition> conditions = new ArrayList<>();
     List<JobRecord> records = new ArrayList<>();
     conditions.add(new Condition(key, 0));
-    for (Waiting one : batch) {
-      conditions.addAll(ClusterState.unchanged(one.record.spec().id(), 0));
-      records.add(one.record);
+    for (PendingSubmission submission : batch) {
+      conditions.addAll(ClusterState.unchanged(submission.record.spec().id(), 0));
+      records.add(submission.record);
     }
     store.commitUrgent(
         conditions,
         List.of(new Write(key, ClusterState.submissionBatch(records), 0)),
-        WAIT,
+        MAX_QUEUE_TIME,
         (result, revision) -> {
           if (result == CommitResult.CONFLICT) {
-            batch.forEach(this::alone);
+            batch.forEach(this::writeIndividually);
           } else {
-            batch.forEach(one -> one.then.accept(result));
+            batch.forEach(submission -> submission.callback.accept(result));
           }
         });
   }
--- a/src/main/java/io/tansystack/jobs/UserApi.java
+++ b/src/main/java/io/tansystack/jobs/UserApi.java
@@ -24,149 +24,160 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The users' interface. Accepting, cancelling and every state that is not final is answered as of the
- * state service, never from a copy that may lag; a final state may be answered from memory, since it
- * never changes.
+ * Serves users' requests: submission, polling and cancellation of jobs. Acceptance, cancellation
+ * and states that are not final are answered according to the state service, never from a cache
+ * that may lag. A final state may be answered from memory, because it never changes.
  */
 public final class UserApi {
   private static final Logger log = LoggerFactory.getLogger(UserApi.class);
-  private static final int MAX_OPEN = 128;
+  private static final int MAX_OPEN_REQUESTS = 128;
   private static final int CANCEL_TRIES = 6;
-  private static final Duration CANCEL_WAIT = Duration.ofMillis(2500);
+
+  /** How long the write of a cancellation may wait for write budget. */
+  private static final Duration MAX_CANCEL_QUEUE_TIME = Duration.ofMillis(2500);
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final InstantSource clock;
-  private final BooleanSupplier storeAnswers;
+  private final BooleanSupplier storeResponsive;
   private final JobLookup lookup;
   private final SubmissionHandler submissions;
-  private int open;
+  private int openRequests;
 
-  /** @param boot this start of the process */
+  /**
+   * @param incarnation the process incarnation ID
+   * @param storeResponsive whether the state service responds
+   * @param requestConfirmation asks the state service to confirm that the cache is up to date
+   */
   public UserApi(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
+      ClusterState clusterState,
       PlatformSettings settings,
-      String boot,
+      String incarnation,
       InstantSource clock,
-      Supplier<Collection<MachineType>> types,
-      BooleanSupplier storeAnswers,
-      Runnable confirm) {
+      Supplier<Collection<MachineType>> machineTypes,
+      BooleanSupplier storeResponsive,
+      Runnable requestConfirmation) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
+    this.clusterState = clusterState;
     this.clock = clock;
-    this.storeAnswers = storeAnswers;
-    this.lookup = new JobLookup(loop, store, world, confirm);
+    this.storeResponsive = storeResponsive;
+    this.lookup = new JobLookup(loop, store, clusterState, requestConfirmation);
     this.submissions =
         new SubmissionHandler(
             loop,
-            world,
+            clusterState,
             settings,
             clock,
-            types,
+            machineTypes,
             lookup,
-            new SubmissionWriter(loop, store, settings, boot));
+            new SubmissionWriter(loop, store, settings, incarnation));
   }
 
-  /** What can't be served now is answered at once, with when to come back, rather than left to time out. */
-  private boolean shed(Reply reply) {
-    if (!storeAnswers.getAsBoolean()) {
+  /**
+   * Answers a request that can't be served now with 503 and the time after which to retry, instead
+   * of letting it time out. Returns whether it did.
+   */
+  private boolean rejectIfUnavailable(Reply reply) {
+    if (!storeResponsive.getAsBoolean()) {
       reply.send(503, Cbor.encode(Responses.error("the state service does not answer")), 1);
       return true;
     }
-    if (open < MAX_OPEN) {
+    if (openRequests < MAX_OPEN_REQUESTS) {
       return false;
     }
     reply.send(503, Cbor.encode(Responses.error("overloaded")), 2);
     return true;
   }
 
-  private TrackedReply opened(Reply reply) {
-    open++;
-    return new TrackedReply(reply, () -> open--);
+  /** Counts a request as open until its answer is sent. */
+  private TrackedReply track(Reply reply) {
+    openRequests++;
+    return new TrackedReply(reply, () -> openRequests--);
   }
 
-  /** {@code POST /v1/jobs}. */
+  /** Serves {@code POST /v1/jobs}. */
   public void submit(byte[] body, Reply reply) {
-    if (!shed(reply)) {
-      submissions.submit(body, opened(reply));
+    if (!rejectIfUnavailable(reply)) {
+      submissions.submit(body, track(reply));
     }
   }
 
-  /** The copy of the records holds all that was committed before {@code at}. */
-  public void synced(Duration at) {
-    lookup.synced(at);
+  /** Called when the cache contains every change committed before {@code at}. */
+  public void onUpToDate(Duration at) {
+    lookup.onUpToDate(at);
   }
 
   /**
-   * {@code GET /v1/jobs/ID}. The copy of the records, once it holds all that was committed before the
-   * poll came, is as good as a read for each poll: with hundreds of jobs, single reads alone would use
-   * up the state service's limit on requests.
+   * Serves {@code GET /v1/jobs/ID}. Once the cache contains every change committed before the poll
+   * arrived, it is as good as a read for each poll: with hundreds of jobs, such reads alone would
+   * use up the state service's request limit.
    */
   public void poll(String id, Reply reply) {
     if (!JobSpec.validId(id)) {
       reply.send(404, Cbor.encode(Responses.error("no such job")));
       return;
     }
-    if (answeredFinal(id, reply) || shed(reply)) {
+    if (answerIfFinal(id, reply) || rejectIfUnavailable(reply)) {
       return;
     }
-    TrackedReply once = opened(reply);
-    Duration at = loop.now();
-    lookup.whenSynced(
-        synced -> {
-          Job job = world.job(id);
-          if (world.finalPhase(id) != null) {
-            once.send(200, Responses.progress(id, world.finalPhase(id).state(), 0, 0));
-          } else if (job != null && synced) {
-            progress(id, job.record(), once);
+    TrackedReply trackedReply = track(reply);
+    Duration requestedAt = loop.now();
+    lookup.whenUpToDate(
+        upToDate -> {
+          Job job = clusterState.job(id);
+          if (clusterState.finalPhase(id) != null) {
+            trackedReply.send(
+                200, Responses.progress(id, clusterState.finalPhase(id).state(), 0, 0));
+          } else if (job != null && upToDate) {
+            sendProgress(id, job.record(), trackedReply);
           } else {
-            // The copy forgets old outcomes; only the state service can deny a job.
+            // The cache discards old outcomes: only the state service can prove a job's absence.
             lookup.find(
                 id,
-                at,
-                new ForUser(once) {
+                requestedAt,
+                new UserLookupCallback(trackedReply) {
                   @Override
-                  public void take(JobRecord record, long version) {
-                    progress(id, record, once);
+                  public void found(JobRecord record, long version) {
+                    sendProgress(id, record, trackedReply);
                   }
                 });
           }
         });
   }
 
-  private boolean answeredFinal(String id, Reply reply) {
-    JobRecord.Phase phase = world.finalPhase(id);
+  private boolean answerIfFinal(String id, Reply reply) {
+    JobRecord.Phase phase = clusterState.finalPhase(id);
     if (phase != null) {
       reply.send(200, Cbor.encode(Responses.progress(id, phase.state(), 0, 0)));
     }
     return phase != null;
   }
 
-  /** Answers a user where there is no such job, or nobody knows. */
-  private abstract static class ForUser implements LookupCallback {
-    private final TrackedReply once;
+  /** Answers a user if there is no such job or its state can't be determined. */
+  private abstract static class UserLookupCallback implements LookupCallback {
+    private final TrackedReply reply;
 
-    ForUser(TrackedReply once) {
-      this.once = once;
+    UserLookupCallback(TrackedReply reply) {
+      this.reply = reply;
     }
 
     @Override
     public void absent() {
-      once.send(404, Responses.error("no such job"));
+      reply.send(404, Responses.error("no such job"));
     }
 
     @Override
-    public void unsure(String why) {
-      once.unsure(why);
+    public void unavailable(String why) {
+      reply.sendUnavailable(why);
     }
   }
 
-  private static void progress(String id, JobRecord record, TrackedReply once) {
-    once.send(
+  private static void sendProgress(String id, JobRecord record, TrackedReply reply) {
+    reply.send(
         200,
         Responses.progress(
             id,
@@ -175,56 +186,56 @@
             record.active() ? record.placedCount() : 0));
   }
 
-  /** {@code POST /v1/jobs/ID/abort}. */
+  /** Serves {@code POST /v1/jobs/ID/abort}. */
   public void abort(String id, Reply reply) {
     if (!JobSpec.validId(id)) {
       reply.send(404, Cbor.encode(Responses.error("no such job")));
       return;
     }
-    if (world.finalPhase(id) != null) {
-      reply.send(200, Cbor.encode(Responses.job(id, world.finalPhase(id).state())));
+    if (clusterState.finalPhase(id) != null) {
+      reply.send(200, Cbor.encode(Responses.job(id, clusterState.finalPhase(id).state())));
       return;
     }
-    if (!shed(reply)) {
-      tryCancel(id, CANCEL_TRIES, opened(reply));
+    if (!rejectIfUnavailable(reply)) {
+      tryCancel(id, CANCEL_TRIES, track(reply));
     }
   }
 
-  /** The slot's holder writes the record too; the one who loses reads it again. */
-  private void tryCancel(String id, int tries, TrackedReply once) {
+  /** The slot's holder writes the record too; after a conflict it is read and tried again. */
+  private void tryCancel(String id, int tries, TrackedReply reply) {
     if (tries == 0) {
-      once.unsure("the record keeps changing");
+      reply.sendUnavailable("the record keeps changing");
       return;
     }
     lookup.find(
         id,
         loop.now(),
-        new ForUser(once) {
+        new UserLookupCallback(reply) {
           @Override
-          public void take(JobRecord record, long version) {
+          public void found(JobRecord record, long version) {
             if (record.active()) {
-              cancel(id, record, version, tries, once);
+              cancel(id, record, version, tries, reply);
             } else {
-              once.send(200, Responses.job(id, record.state()));
+              reply.send(200, Responses.job(id, record.state()));
             }
           }
         });
   }
 
-  private void cancel(String id, JobRecord record, long version, int tries, TrackedReply once) {
+  private void cancel(String id, JobRecord record, long version, int tries, TrackedReply reply) {
     String key = ClusterState.jobKey(id);
     store.commitUrgent(
         ClusterState.unchanged(id, version),
         List.of(new Write(key, record.cancelled(clock.millis()).write(), 0)),
-        CANCEL_WAIT,
+        MAX_CANCEL_QUEUE_TIME,
         (result, revision) -> {
           switch (result) {
             case DONE -> {
               log.info("cancelled job={} placed={}", id, record.placedCount());
-              once.send(200, Responses.job(id, JobStatus.CANCELLED));
+              reply.send(200, Responses.job(id, JobStatus.CANCELLED));
             }
-            case CONFLICT -> tryCancel(id, tries - 1, once);
-            default -> once.unsure("the state service did not confirm");
+            case CONFLICT -> tryCancel(id, tries - 1, reply);
+            default -> reply.sendUnavailable("the state service did not confirm");
           }
         });
   }
--- a/src/test/java/io/tansystack/jobs/JobUpdateBuilderTest.java
+++ b/src/test/java/io/tansystack/jobs/JobUpdateBuilderTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** In which order drafts are written. */
+/** Checks the order in which job updates are written. */
 class JobUpdateBuilderTest {
-  /** One letter for each draft: P and L place work of production and low priority, E ends a job. */
-  private static JobUpdate draft(char kind, int arrival) {
+  /** Creates an update: P and L place tasks of production and low priority, E ends a job. */
+  private static JobUpdate update(char kind, int arrival) {
     Priority priority = kind == 'P' ? Priority.PRODUCTION : Priority.LOW;
     JobSpec spec =
         new JobSpec(
@@ -36,14 +36,14 @@
     "LEPPPP,PPPEPL",
     "LLLLP,PLLLL",
   })
-  void replicasComeFirstAndDoNotKeepOthersWaitingForEver(String given, String order) {
-    List<JobUpdate> drafts = new ArrayList<>();
+  void replicasComeFirstWithoutStarvingOtherUpdates(String given, String order) {
+    List<JobUpdate> updates = new ArrayList<>();
     for (int i = 0; i < given.length(); i++) {
-      drafts.add(draft(given.charAt(i), i));
+      updates.add(update(given.charAt(i), i));
     }
     String written =
-        JobUpdateBuilder.inTurn(drafts).stream()
-            .map(draft -> draft.spec().jobClass())
+        JobUpdateBuilder.inWriteOrder(updates).stream()
+            .map(update -> update.spec().jobClass())
             .collect(Collectors.joining());
     assertEquals(order, written);
   }
