--- a/src/main/java/io/tansystack/cli/Controller.java
+++ b/src/main/java/io/tansystack/cli/Controller.java
@@ -153,7 +153,7 @@
             clock,
             recordLife,
             new RecoveryContext.PeerHealth(
-                peers::unfitForWorkers, peers::heard, peers::refuses, peers::silent));
+                peers::unfitForWorkers, peers::heardFrom, peers::refusesConnections, peers::unresponsive));
     this.types = new MachineTypeCatalog(loop, store, world, caller, settings);
     this.desk =
         new WorkerManager(
@@ -169,7 +169,7 @@
             writes,
             peers::unfitForWorkers,
             recovery,
-            watcher::completeBefore,
+            watcher::upToDateBeforeLastUpdate,
             new WallClockConverter(loop, clock, settings.skew()),
             types::get,
             views::get,
@@ -178,7 +178,7 @@
         new JobScheduler(
             loop, store, world, lease, slots, settings, views::get, types::get, this::booting,
             pass -> latencies.measure("pass", pass), clock, recovery.fleetCoverage(),
-            peer -> peers.heard(peer) && !peers.unfitForWorkers(peer));
+            peer -> peers.heardFrom(peer) && !peers.unfitForWorkers(peer));
     this.fleet =
         new Autoscaler(
             loop, caller, store, world, lease, stall, slots, types, settings, operator, desk,
@@ -186,7 +186,7 @@
     this.users =
         new UserApi(
             loop, store, world, settings, boot, clock, types::all, this::storeAnswers,
-            watcher::confirm);
+            watcher::confirmUpToDate);
     this.sweep = new RecordGarbageCollector(loop, store, world, lease, slots);
     this.start = new StartupLogger(loop, world, label, recovery, desk::startupCounts);
     this.overseer =
@@ -217,13 +217,13 @@
     loop.after(Duration.ofMillis(500), this::tick);
     stall.check();
     if (heardUntil.compareTo(stall.runningSince()) < 0) {
-      peers.listenAnew();
+      peers.restartSilenceTimers();
       desk.restartSilenceTimers();
     }
     heardUntil = loop.now();
     ticks++;
     logValidity();
-    store.writeRate(writeShare(slots.isPlanner() ? slots.plannerCount() : settings.size()));
+    store.setWriteRate(writeShare(slots.isPlanner() ? slots.plannerCount() : settings.size()));
     if (ticks % 2 == 0) {
       desk.tick();
     }
@@ -288,7 +288,7 @@
   }
 
   private ObjectNode fleetNews() {
-    return fleet.news();
+    return fleet.bootingUpdate();
   }
 
   private boolean deaf() {
@@ -300,7 +300,7 @@
   }
 
   private void heardOfFleet(ObjectNode news) {
-    fleet.heard(news);
+    fleet.onBootingUpdate(news);
   }
 
   private List<MachineState> booting() {
@@ -369,7 +369,7 @@
     if (!world.loaded() || !lease.registered()) {
       return false;
     }
-    return storeAnswers() || (peers.somePeerHeard() && !peers.somePeerValid());
+    return storeAnswers() || (peers.heardFromAnyPeer() && !peers.anyPeerCanSchedule());
   }
 
   private boolean storeAnswers() {
--- a/src/main/java/io/tansystack/cluster/ControllerLease.java
+++ b/src/main/java/io/tansystack/cluster/ControllerLease.java
@@ -106,7 +106,7 @@
     if (leaseId == 0) {
       Duration sentAt = loop.now();
       // Leases last at least 100 ms; the settings keep to the range that the state service allows.
-      store.grant(
+      store.grantLease(
           recordTtl,
           granted -> {
             if (granted != null) {
@@ -119,7 +119,7 @@
       return;
     }
     Duration sentAt = loop.now();
-    store.renew(
+    store.renewLease(
         leaseId,
         status -> {
           if (status == 200) {
@@ -187,7 +187,7 @@
    */
   public boolean validAndFresh() {
     stallDetector.check();
-    return valid() && watcher.syncedAt().compareTo(stallDetector.runningSince()) >= 0;
+    return valid() && watcher.upToDateAsOf().compareTo(stallDetector.runningSince()) >= 0;
   }
 
   /**
@@ -202,7 +202,7 @@
         + " renewed="
         + age(renewedAt)
         + " synced="
-        + age(watcher.syncedAt())
+        + age(watcher.upToDateAsOf())
         + " copy="
         + watcher.revision();
   }
@@ -213,10 +213,10 @@
 
   /** Whether this controller may act now; to be checked immediately before each action. */
   public boolean valid() {
-    if (!registered || renewedAt == null || watcher.syncedAt() == null) {
+    if (!registered || renewedAt == null || watcher.upToDateAsOf() == null) {
       return false;
     }
-    return isRecent(renewedAt) && isRecent(watcher.syncedAt());
+    return isRecent(renewedAt) && isRecent(watcher.upToDateAsOf());
   }
 
   /**
--- a/src/main/java/io/tansystack/cluster/RecordGarbageCollector.java
+++ b/src/main/java/io/tansystack/cluster/RecordGarbageCollector.java
@@ -103,7 +103,7 @@
     }
     boolean many = clusterState.unarchivedOutcomes().size() > MAX_UNARCHIVED;
     if (conditions.size() == ARCHIVE_BATCH_SIZE
-        && (many ? store.reserveSpare(writes.size()) : store.reserveIdle(writes.size()))) {
+        && (many ? store.reserveIfAmple(writes.size()) : store.reserveIfIdle(writes.size()))) {
       store.commitReserved(
           conditions,
           writes,
--- a/src/main/java/io/tansystack/fleet/Autoscaler.java
+++ b/src/main/java/io/tansystack/fleet/Autoscaler.java
@@ -30,206 +30,250 @@
 import java.util.function.Function;
 
 /**
- * Deals with the cloud, on the one controller that holds the fleet record: rents for what found no
- * room ({@link Rentals}), returns what is idle ({@link ScaleDownPolicy}), failed or never came up ({@link
- * Inventory}), and has silent machines deleted, whose confirmed deletion is the quickest proof that
- * their tasks are over ({@link MachineReleaser}).
+ * Rents and returns machines, on the one controller that holds the fleet record (the autoscaler
+ * role). It rents machines for tasks for which no capacity was found ({@link Rentals}), and returns
+ * machines that are idle ({@link ScaleDownPolicy}), failed or never came up ({@link Inventory}). It
+ * also deletes machines without reports: a confirmed deletion is the quickest proof that their
+ * tasks have ended ({@link MachineReleaser}).
  */
 public final class Autoscaler {
-  private static final Duration TURN = Duration.ofMillis(250);
-  private static final Duration JUDGE_EVERY = Duration.ofSeconds(1);
-  private static final Duration BOOTING_KEPT = Duration.ofMillis(200);
-  private static final Duration UNWRITABLE = Duration.ofMillis(3500);
-  private static final Duration NEWS_LIFE = Duration.ofSeconds(3);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
+  private static final Duration EVALUATION_INTERVAL = Duration.ofSeconds(1);
+  private static final Duration BOOTING_CACHE_TTL = Duration.ofMillis(200);
+
+  /** The state service counts as unavailable after this long without a successful request. */
+  private static final Duration STORE_OUTAGE = Duration.ofMillis(3500);
+
+  /** Age at which the autoscaler's last update on booting machines is ignored. */
+  private static final Duration UPDATE_TTL = Duration.ofSeconds(3);
 
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final ControllerLease lease;
   private final StallDetector stall;
-  private final SlotManager slots;
-  private final MachineTypeCatalog types;
+  private final SlotManager slotManager;
+  private final MachineTypeCatalog machineTypes;
   private final OperatorSettings operator;
-  private final WorkerManager desk;
+  private final WorkerManager workerManager;
   private final Function<String, MachineView> views;
-  private final JobScheduler jobs;
+  private final JobScheduler scheduler;
   private final FleetCoverage coverage;
-  private final MachineReleaser returns;
+  private final MachineReleaser releaser;
   private final Inventory inventory;
   private final Rentals rentals;
-  private final ScaleDownPolicy warmth;
-  private Duration judgedAt = Duration.ZERO;
-  private long heldVersion;
-  private Duration heldSince;
-  private ObjectNode heard;
+  private final ScaleDownPolicy scaleDownPolicy;
+  private Duration evaluatedAt = Duration.ZERO;
+
+  /** Version of the fleet record under which this controller last held the role; 0 if never. */
+  private long roleVersion;
+
+  private Duration roleSince;
+  private ObjectNode receivedUpdate;
   private List<MachineState> booting = List.of();
-  private Duration bootingAt;
-  private Duration heardAt;
+  private Duration bootingComputedAt;
+  private Duration updateReceivedAt;
 
   public Autoscaler(
       EventLoop loop,
-      HttpClient caller,
+      HttpClient httpClient,
       StoreClient store,
-      ClusterState world,
+      ClusterState clusterState,
       ControllerLease lease,
       StallDetector stall,
-      SlotManager slots,
-      MachineTypeCatalog types,
+      SlotManager slotManager,
+      MachineTypeCatalog machineTypes,
       PlatformSettings settings,
       OperatorSettings operator,
-      WorkerManager desk,
+      WorkerManager workerManager,
       Function<String, MachineView> views,
-      JobScheduler jobs,
+      JobScheduler scheduler,
       FleetCoverage coverage) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
+    this.clusterState = clusterState;
     this.lease = lease;
     this.stall = stall;
-    this.slots = slots;
-    this.types = types;
+    this.slotManager = slotManager;
+    this.machineTypes = machineTypes;
     this.operator = operator;
-    this.desk = desk;
+    this.workerManager = workerManager;
     this.views = views;
-    this.jobs = jobs;
+    this.scheduler = scheduler;
     this.coverage = coverage;
-    // A list may be as old as this, and older than the one before it.
-    Duration listAge = settings.cloudLimits().listLag().multipliedBy(2).plusSeconds(2);
+    // A machine list may be this old, and may be older than the list read before it.
+    Duration maxListAge = settings.cloudLimits().listLag().multipliedBy(2).plusSeconds(2);
     CloudClient cloud =
-        new CloudClient(caller, loop, settings.cloud(), settings.cloudLimits().rps() * 0.9);
-    this.returns = new MachineReleaser(loop, cloud, store, world);
-    this.inventory = new Inventory(loop, cloud, world, types::get, views, returns, listAge);
+        new CloudClient(httpClient, loop, settings.cloud(), settings.cloudLimits().rps() * 0.9);
+    this.releaser = new MachineReleaser(loop, cloud, store, clusterState);
+    this.inventory =
+        new Inventory(loop, cloud, clusterState, machineTypes::get, views, releaser, maxListAge);
     this.rentals =
-        new Rentals(loop, cloud, store, world, inventory, operator, types::byName, listAge);
-    this.warmth = new ScaleDownPolicy(world, types::get, settings, operator, returns);
-    returns.onReturned(inventory::forget);
+        new Rentals(
+            loop,
+            cloud,
+            store,
+            clusterState,
+            inventory,
+            operator,
+            machineTypes::byName,
+            maxListAge);
+    this.scaleDownPolicy =
+        new ScaleDownPolicy(clusterState, machineTypes::get, settings, operator, releaser);
+    releaser.onReturned(inventory::forget);
   }
 
+  /** Starts the periodic ticks; they do nothing while another controller holds the role. */
   public void start() {
     loop.after(
-        TURN,
+        TICK_INTERVAL,
         () -> {
           start();
-          turn();
+          tick();
         });
   }
 
-  private void turn() {
-    if (!slots.holdsAutoscalerRole() || !lease.validAndFresh()) {
+  private void tick() {
+    if (!slotManager.holdsAutoscalerRole() || !lease.validAndFresh()) {
       return;
     }
     Duration now = loop.now();
-    if (heldVersion != world.autoscaler().version()
-        || heldSince.compareTo(stall.runningSince()) < 0) {
-      heldVersion = world.autoscaler().version();
-      startAnew(now);
+    if (roleVersion != clusterState.autoscaler().version()
+        || roleSince.compareTo(stall.runningSince()) < 0) {
+      roleVersion = clusterState.autoscaler().version();
+      reset(now);
     }
-    if (now.minus(judgedAt).compareTo(JUDGE_EVERY) >= 0) {
-      judgedAt = now;
-      warmth.noteArrivals(now);
+    if (now.minus(evaluatedAt).compareTo(EVALUATION_INTERVAL) >= 0) {
+      evaluatedAt = now;
+      scaleDownPolicy.recordArrivals(now);
       adoptOrphans();
-      judgeSilence();
-      inventory.judge(now);
-      if (now.minus(store.lastSuccess()).compareTo(UNWRITABLE) > 0) {
-        warmth.startAnew(now); // Nothing can be placed: what is idle now is not idle for want of work.
+      releaseSilentMachines();
+      inventory.releaseFailed(now);
+      if (now.minus(store.lastSuccess()).compareTo(STORE_OUTAGE) > 0) {
+        // Nothing can be placed during the outage, so idle machines don't mean that work is
+        // lacking.
+        scaleDownPolicy.reset(now);
       }
-      warmth.judge(now);
-      warmth.consolidate(now, jobs.lastSnapshot(), jobs.lastPlan(), inventory.overdue());
+      scaleDownPolicy.evaluate(now);
+      scaleDownPolicy.consolidate(
+          now, scheduler.lastSnapshot(), scheduler.lastPlan(), inventory.overdue());
     }
-    returns.send();
-    rentals.turn(
-        jobs.lastPlan().unmet().stream().filter(u -> coverage.covers(u.spec())).toList(), now);
+    releaser.send();
+    rentals.tick(
+        scheduler.lastPlan().unmet().stream().filter(u -> coverage.covers(u.spec())).toList(), now);
     inventory.refresh(now);
   }
 
-  /** Nothing that was seen before counts: another held the duty meanwhile, or this process stood still. */
-  private void startAnew(Duration now) {
-    heldSince = now;
-    returns.startAnew();
-    inventory.startAnew(now);
-    rentals.startAnew(now);
-    warmth.startAnew(now);
+  /**
+   * Discards all earlier observations: another controller held the role in the meantime, or this
+   * process was paused.
+   */
+  private void reset(Duration now) {
+    roleSince = now;
+    releaser.reset();
+    inventory.reset(now);
+    rentals.reset(now);
+    scaleDownPolicy.reset(now);
   }
 
-  /** Machines whose workers report to nobody need an owner too, or they are never declared gone. */
+  /**
+   * Finds new owners for machines whose owner has no record. Machines whose workers don't report to
+   * any controller need an owner too, because without one they are never declared gone.
+   */
   private void adoptOrphans() {
-    for (MachineRecord record : world.machines().values()) {
-      if (!world.alive(record.owner())) {
-        desk.failOverIfOverdue(record);
+    for (MachineRecord record : clusterState.machines().values()) {
+      if (!clusterState.alive(record.owner())) {
+        workerManager.failOverIfOverdue(record);
       }
     }
   }
 
-  /** Finds machines that have been silent for too long. */
-  private void judgeSilence() {
-    Map<String, List<String>> silent = new HashMap<>();
-    Map<String, Integer> owned = new HashMap<>();
-    Map<String, Integer> quiet = new HashMap<>();
-    for (MachineRecord record : world.machines().values()) {
+  /**
+   * Marks machines for deletion that have sent no report for longer than the operator's limit,
+   * unless the cause seems to be their owner.
+   */
+  private void releaseSilentMachines() {
+    Map<String, List<String>> silentByOwner = new HashMap<>();
+    Map<String, Integer> ownedCount = new HashMap<>();
+    Map<String, Integer> suspectCount = new HashMap<>();
+    for (MachineRecord record : clusterState.machines().values()) {
       String name = record.name();
-      owned.merge(record.owner(), 1, Integer::sum);
-      Duration silence = desk.silentFor(name);
+      ownedCount.merge(record.owner(), 1, Integer::sum);
+      Duration silence = workerManager.silentFor(name);
       MachineView view = views.apply(name);
-      if (silence == null && view != null && view.token() == world.token(record)) {
+      if (silence == null && view != null && view.token() == clusterState.token(record)) {
         silence = Duration.ofMillis(view.silentMs());
       }
       if (silence != null && silence.compareTo(operator.silentDelete().dividedBy(2)) > 0) {
-        quiet.merge(record.owner(), 1, Integer::sum);
+        suspectCount.merge(record.owner(), 1, Integer::sum);
       }
       if (silence != null && silence.compareTo(operator.silentDelete()) > 0) {
-        silent.computeIfAbsent(record.owner(), k -> new ArrayList<>()).add(name);
+        silentByOwner.computeIfAbsent(record.owner(), k -> new ArrayList<>()).add(name);
       }
     }
-    silent.forEach(
+    silentByOwner.forEach(
         (owner, names) -> {
-          // Most machines of one owner at once: it is the owner that they can't reach.
-          // The first to be silent for long enough are few; those that follow them count too.
-          if (quiet.get(owner) <= Math.max(2, owned.get(owner) * WorkerManager.MASS_SILENCE_SHARE)) {
+          // If a large part of an owner's machines is silent, it is the owner that they can't
+          // reach. The first machines over the limit are few, so those over half of it are counted
+          // too.
+          if (suspectCount.get(owner) <= Math.max(2, ownedCount.get(owner) * WorkerManager.MASS_SILENCE_SHARE)) {
             names.forEach(
-                name -> returns.mark(name, "silent for longer than " + operator.silentDelete()));
+                name ->
+                    releaser.markForDeletion(
+                        name, "silent for longer than " + operator.silentDelete()));
           }
         });
   }
 
-  /** What is booting, for the other controllers; null where this one doesn't deal with the cloud. */
-  public ObjectNode news() {
-    if (heldVersion == 0 || !slots.holdsAutoscalerRole()) {
+  /**
+   * The update on booting machines for the other controllers; null if this is not the autoscaler.
+   */
+  public ObjectNode bootingUpdate() {
+    if (roleVersion == 0 || !slotManager.holdsAutoscalerRole()) {
       return null;
     }
-    ObjectNode news = Cbor.map();
-    ArrayNode list = news.putArray("booting");
+    ObjectNode update = Cbor.map();
+    ArrayNode list = update.putArray("booting");
     List<MachineOffering> booting = inventory.booting(loop.now());
-    booting.addAll(rentals.coming());
-    for (MachineOffering kind : booting) {
-      list.addObject().put("type", kind.type()).put("zone", kind.zone()).put("spot", kind.spot());
+    booting.addAll(rentals.pendingMachines());
+    for (MachineOffering offering : booting) {
+      list.addObject()
+          .put("type", offering.type())
+          .put("zone", offering.zone())
+          .put("spot", offering.spot());
     }
-    return news;
+    return update;
   }
 
-  /** The news of the controller that deals with the cloud. */
-  public void heard(ObjectNode news) {
-    heard = news;
-    heardAt = loop.now();
+  /** Receives the autoscaler's update on booting machines. */
+  public void onBootingUpdate(ObjectNode update) {
+    receivedUpdate = update;
+    updateReceivedAt = loop.now();
   }
 
-  /** Machines that are booting, as far as is known here; each pass asks, and few come or go between two. */
+  /**
+   * Machines that are known to be booting. The result is cached, because every scheduling pass
+   * needs it and few machines come or go between two passes.
+   */
   public List<MachineState> booting() {
     Duration now = loop.now();
-    if (bootingAt == null || now.minus(bootingAt).compareTo(BOOTING_KEPT) >= 0) {
-      bootingAt = now;
+    if (bootingComputedAt == null
+        || now.minus(bootingComputedAt).compareTo(BOOTING_CACHE_TTL) >= 0) {
+      bootingComputedAt = now;
       booting = findBooting();
     }
     return booting;
   }
 
   private List<MachineState> findBooting() {
-    ObjectNode own = news();
-    boolean fresh = heardAt != null && loop.now().minus(heardAt).compareTo(NEWS_LIFE) < 0;
-    ObjectNode news = own != null ? own : fresh ? heard : null;
+    ObjectNode own = bootingUpdate();
+    boolean fresh =
+        updateReceivedAt != null && loop.now().minus(updateReceivedAt).compareTo(UPDATE_TTL) < 0;
+    ObjectNode update = own != null ? own : fresh ? receivedUpdate : null;
     List<MachineState> machines = new ArrayList<>();
-    if (news != null) {
-      for (JsonNode node : news.path("booting")) {
-        MachineType type = types.get(node.path("type").asText());
+    if (update != null) {
+      for (JsonNode node : update.path("booting")) {
+        MachineType type = machineTypes.get(node.path("type").asText());
         if (type != null) {
           machines.add(
               Snapshot.booting(
--- a/src/main/java/io/tansystack/fleet/BootTimeEstimator.java
+++ b/src/main/java/io/tansystack/fleet/BootTimeEstimator.java
@@ -6,80 +6,90 @@
 import java.util.Map;
 
 /**
- * How long machines take to be of use, learned for each type. Some come up several times as late as
- * stated and a few never do. One that is overdue is no longer counted as room about to come, so that
- * work isn't kept waiting for it; but where most of a type are overdue the cloud itself is slow, and
- * what would be rented instead would be as late.
+ * Estimates for each machine type how long a machine takes from its rental until it is usable. Some
+ * machines take several times the stated boot time and a few never come up. An overdue machine no
+ * longer counts as pending capacity, so that work isn't kept waiting for it. But if most booting
+ * machines of a type are overdue, the cloud itself is slow, and machines rented instead would be as
+ * late.
  */
 final class BootTimeEstimator {
-  private static final int REMEMBERED = 12;
+  private static final int MAX_SAMPLES = 12;
 
-  /** Boot times scatter up to one and a half times what is stated. */
-  private static final double OVERDUE = 1.6;
+  /** Above the normal scatter: boot times reach one and a half times the stated one. */
+  private static final double OVERDUE_FACTOR = 1.6;
 
-  private static final double GIVE_UP = 3;
-  private static final double SLACK_S = 10;
+  /** A boot times out after this factor of the expected boot time plus a constant slack. */
+  private static final double TIMEOUT_FACTOR = 3;
 
-  /** Fewer overdue machines than this say nothing of the cloud as a whole. */
-  private static final int ENOUGH = 4;
+  private static final double TIMEOUT_SLACK_S = 10;
 
-  private final Map<String, Deque<Double>> seen = new HashMap<>();
-  private final Map<String, Double> usual = new HashMap<>();
-  private final Map<String, Integer> waiting = new HashMap<>();
-  private final Map<String, Integer> overdue = new HashMap<>();
+  /** Fewer overdue machines than this are no evidence that the cloud as a whole is slow. */
+  private static final int MIN_OVERDUE = 4;
 
-  /** A machine of the type has come to be of use so many seconds after its rental. */
-  void cameUp(String type, double seconds) {
-    Deque<Double> times = seen.computeIfAbsent(type, k -> new ArrayDeque<>());
+  private final Map<String, Deque<Double>> samples = new HashMap<>();
+  private final Map<String, Double> upperQuartiles = new HashMap<>();
+  private final Map<String, Integer> bootingCounts = new HashMap<>();
+  private final Map<String, Integer> overdueCounts = new HashMap<>();
+
+  /** Records that a machine of the type became usable this many seconds after its rental. */
+  void addSample(String type, double seconds) {
+    Deque<Double> times = samples.computeIfAbsent(type, k -> new ArrayDeque<>());
     times.addLast(seconds);
-    if (times.size() > REMEMBERED) {
+    if (times.size() > MAX_SAMPLES) {
       times.removeFirst();
     }
     double[] sorted = times.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-    usual.put(type, sorted[(sorted.length - 1) * 3 / 4]);
+    upperQuartiles.put(type, sorted[(sorted.length - 1) * 3 / 4]);
   }
 
-  /** Three in four of those seen lately came up within this; never less than what is stated. */
-  double expected(String type, double statedS) {
-    return Math.max(statedS, usual.getOrDefault(type, 0.0));
+  /**
+   * The time within which three of four recently observed machines of the type came up, in seconds,
+   * but at least the stated boot time.
+   */
+  double expectedS(String type, double statedS) {
+    return Math.max(statedS, upperQuartiles.getOrDefault(type, 0.0));
   }
 
+  /** Whether a machine that was rented {@code ageS} seconds ago should have come up by now. */
   boolean overdue(String type, double statedS, double ageS) {
-    return ageS > expected(type, statedS) * OVERDUE;
+    return ageS > expectedS(type, statedS) * OVERDUE_FACTOR;
   }
 
-  /** How many machines are waited for in vain at this time. */
+  /** Number of booting machines that are overdue, of all types. */
   int overdue() {
-    return overdue.values().stream().mapToInt(Integer::intValue).sum();
+    return overdueCounts.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** Starts a count of those that are waited for. */
-  void recount() {
-    waiting.clear();
-    overdue.clear();
+  /** Starts a new count of booting machines; {@link #countBooting} then adds each of them. */
+  void resetCounts() {
+    bootingCounts.clear();
+    overdueCounts.clear();
   }
 
-  void count(String type, double statedS, double ageS) {
-    waiting.merge(type, 1, Integer::sum);
+  void countBooting(String type, double statedS, double ageS) {
+    bootingCounts.merge(type, 1, Integer::sum);
     if (overdue(type, statedS, ageS)) {
-      overdue.merge(type, 1, Integer::sum);
+      overdueCounts.merge(type, 1, Integer::sum);
     }
   }
 
-  /** Whether most machines of the type that are waited for are overdue, so that new ones won't help. */
-  boolean slow(String type) {
-    int late = overdue.getOrDefault(type, 0);
-    return late >= ENOUGH && 2 * late > waiting.getOrDefault(type, 0);
+  /** Whether most booting machines of the type are overdue, so that renting more won't help. */
+  boolean isSlow(String type) {
+    int overdueCount = overdueCounts.getOrDefault(type, 0);
+    return overdueCount >= MIN_OVERDUE && 2 * overdueCount > bootingCounts.getOrDefault(type, 0);
   }
 
-  /** Whether the machine still counts as room about to come. */
-  boolean counts(String type, double statedS, double ageS) {
-    return !overdue(type, statedS, ageS) || slow(type);
+  /** Whether a booting machine still counts as pending capacity. */
+  boolean countsAsPending(String type, double statedS, double ageS) {
+    return !overdue(type, statedS, ageS) || isSlow(type);
   }
 
-  /** Whether it is better returned: it is paid for all the time, and may never come. */
-  boolean hopeless(String type, double statedS, double ageS) {
-    double limit = expected(type, statedS) * GIVE_UP + SLACK_S;
-    return ageS > (slow(type) ? 2 * limit : limit);
+  /**
+   * Whether a booting machine should be returned, because it is paid for and may never come up. The
+   * limit is twice as long while the type is slow.
+   */
+  boolean timedOut(String type, double statedS, double ageS) {
+    double limit = expectedS(type, statedS) * TIMEOUT_FACTOR + TIMEOUT_SLACK_S;
+    return ageS > (isSlow(type) ? 2 * limit : limit);
   }
 }
--- a/src/main/java/io/tansystack/fleet/CloudClient.java
+++ b/src/main/java/io/tansystack/fleet/CloudClient.java
@@ -8,39 +8,45 @@
 import java.time.Duration;
 
 /**
- * The cloud's client. Its limit is kept by a budget that may be spent in a burst: what many machines
- * are waited for is asked for at once, and a call spared while nothing was wanted is worth nothing.
+ * Client of the cloud's API. A token bucket keeps its calls within the cloud's rate limit. The
+ * bucket may be emptied in one burst, so that a large shortage is rented for at once: calls saved
+ * while nothing was needed have no other use.
  */
 final class CloudClient {
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
-  /** The cloud allows bursts worth two seconds; a part is left for who held the duty before. */
+  /** The cloud allows bursts of two seconds; a part is left to the previous autoscaler. */
   private static final double BURST_S = 1.5;
 
-  private final HttpClient caller;
+  private final HttpClient httpClient;
   private final EventLoop loop;
   private final InetSocketAddress address;
   private final RateBudget budget;
 
-  CloudClient(HttpClient caller, EventLoop loop, InetSocketAddress address, double perSecond) {
-    this.caller = caller;
+  CloudClient(
+      HttpClient httpClient, EventLoop loop, InetSocketAddress address, double callsPerSecond) {
+    this.httpClient = httpClient;
     this.loop = loop;
     this.address = address;
-    this.budget = new RateBudget(perSecond, Math.max(1, perSecond * BURST_S), loop.now());
+    this.budget = new RateBudget(callsPerSecond, Math.max(1, callsPerSecond * BURST_S), loop.now());
   }
 
-  /** Takes a call out of the budget; false if none may be made now. */
-  boolean take() {
-    return budget.take(1, true, loop.now());
+  /** Takes one call from the budget; false if no call may be made now. */
+  boolean tryAcquire() {
+    return budget.tryAcquire(1, true, loop.now());
   }
 
-  /** How many calls may be made now. */
+  /** Number of calls that may be made now. */
   int available() {
     return budget.available(loop.now());
   }
 
-  void call(String method, String path, byte[] body, CborResponseHandler.Callback then) {
-    caller.call(
+  /**
+   * Sends a request without taking it from the budget. The callback receives status 0 if there was
+   * no response.
+   */
+  void call(String method, String path, byte[] body, CborResponseHandler.Callback callback) {
+    httpClient.call(
         address,
         method,
         path,
@@ -51,10 +57,10 @@
             0,
             (status, map) -> {
               if (status == 429) {
-                // Others use the limit too.
-                budget.refused(loop.now(), Duration.ofMillis(500));
+                // Other controllers use the same limit.
+                budget.onThrottled(loop.now(), Duration.ofMillis(500));
               }
-              then.take(status, map);
+              callback.take(status, map);
             }));
   }
 }
--- a/src/main/java/io/tansystack/fleet/Inventory.java
+++ b/src/main/java/io/tansystack/fleet/Inventory.java
@@ -22,255 +22,285 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the cloud has rented out, as far as is known: from its list, which lags, and from the answers
- * to rentals made here, which don't. Finds what has vanished, failed or never came up.
+ * The machines that are known to be rented: from the cloud's list, which lags, and from responses
+ * to this controller's rentals, which don't. Marks machines for deletion that are no longer listed,
+ * failed or never came up.
  */
 final class Inventory {
-  private static final Duration LIST_EVERY = Duration.ofSeconds(2);
-  private static final Duration UNCLAIMED = Duration.ofSeconds(40);
+  private static final Duration LIST_INTERVAL = Duration.ofSeconds(2);
 
-  private static final class Known {
-    final MachineOffering kind;
+  /** A running machine without an owner is returned after this time. */
+  private static final Duration UNCLAIMED_TIMEOUT = Duration.ofSeconds(40);
+
+  /** Silence after which a machine that is missing from the list is deleted. */
+  private static final long UNLISTED_SILENT_MS = 6000;
+
+  /** Boot time that is assumed for machines of an unknown type. */
+  private static final double DEFAULT_BOOT_S = 60;
+
+  private static final class RentedMachine {
+    final MachineOffering offering;
     final double statedBootS;
-    final Duration since;
+    final Duration rentedAt;
     Status status = Status.BOOTING;
     Duration runningSince;
 
-    /** When it last had a record: one declared gone by its owner may come back in its next session. */
-    Duration ownedAt = Duration.ZERO;
+    /**
+     * When the machine last had a record. A machine that its owner has declared gone may come back
+     * in its next session.
+     */
+    Duration lastOwnedAt = Duration.ZERO;
 
-    Duration listedAt;
+    Duration lastListedAt;
+
+    /** Whether this controller rented it; boot times are learned only from such machines. */
     boolean rentedHere;
+
     boolean cameUp;
 
-    Known(MachineOffering kind, double statedBootS, Duration since) {
-      this.kind = kind;
+    RentedMachine(MachineOffering offering, double statedBootS, Duration rentedAt) {
+      this.offering = offering;
       this.statedBootS = statedBootS;
-      this.since = since;
+      this.rentedAt = rentedAt;
     }
 
     double ageS(Duration now) {
-      return now.minus(since).toNanos() / 1e9;
+      return now.minus(rentedAt).toNanos() / 1e9;
     }
   }
 
-  private final ThrottledLogger malformed =
+  private final ThrottledLogger invalidMessages =
       new ThrottledLogger(LoggerFactory.getLogger(Inventory.class));
   private final EventLoop loop;
   private final CloudClient cloud;
-  private final ClusterState world;
-  private final Function<String, MachineType> types;
+  private final ClusterState clusterState;
+  private final Function<String, MachineType> machineTypes;
   private final Function<String, MachineView> views;
-  private final MachineReleaser returns;
-  private final Duration listAge;
-  private final BootTimeEstimator boots = new BootTimeEstimator();
-  private final Map<String, Known> known = new TreeMap<>();
-  private Duration listedAt = Duration.ofDays(-1);
-  private Duration heldSince = Duration.ZERO;
-  private boolean listing;
+  private final MachineReleaser releaser;
+  private final Duration maxListAge;
+  private final BootTimeEstimator bootTimes = new BootTimeEstimator();
+  private final Map<String, RentedMachine> machines = new TreeMap<>();
+  private Duration listReadAt = Duration.ofDays(-1);
+  private Duration roleSince = Duration.ZERO;
+  private boolean listInFlight;
   private boolean complete;
 
-  /** Counts the holdings of the duty: what was asked for in an earlier one is not listened to. */
-  private int holding;
+  /** Incremented by each reset; responses to requests of an earlier term are ignored. */
+  private int roleTerm;
 
-  /** @param listAge a list may be as old as this, and older than the one before it */
+  /** @param maxListAge a list may be this old, and may be older than the list read before it */
   Inventory(
       EventLoop loop,
       CloudClient cloud,
-      ClusterState world,
-      Function<String, MachineType> types,
+      ClusterState clusterState,
+      Function<String, MachineType> machineTypes,
       Function<String, MachineView> views,
-      MachineReleaser returns,
-      Duration listAge) {
+      MachineReleaser releaser,
+      Duration maxListAge) {
     this.loop = loop;
     this.cloud = cloud;
-    this.world = world;
-    this.types = types;
+    this.clusterState = clusterState;
+    this.machineTypes = machineTypes;
     this.views = views;
-    this.returns = returns;
-    this.listAge = listAge;
+    this.releaser = releaser;
+    this.maxListAge = maxListAge;
   }
 
-  /** Nothing that was seen before counts. */
-  void startAnew(Duration now) {
-    heldSince = now;
-    holding++;
-    known.clear();
+  /** Discards all earlier observations. */
+  void reset(Duration now) {
+    roleSince = now;
+    roleTerm++;
+    machines.clear();
     complete = false;
-    listing = false;
-    listedAt = Duration.ofDays(-1);
+    listInFlight = false;
+    listReadAt = Duration.ofDays(-1);
   }
 
-  /** Whether a whole list was read since the duty was taken. */
+  /** Whether a whole list has been read since the role was taken. */
   boolean complete() {
     return complete;
   }
 
   boolean isEmpty() {
-    return known.isEmpty();
+    return machines.isEmpty();
   }
 
-  /** Asks for the list if it is time to. */
+  /** Requests the machine list if it is due. */
   void refresh(Duration now) {
-    if (!listing && now.minus(listedAt).compareTo(LIST_EVERY) > 0 && cloud.take()) {
-      list("", new HashSet<>(), now);
+    if (!listInFlight
+        && now.minus(listReadAt).compareTo(LIST_INTERVAL) > 0
+        && cloud.tryAcquire()) {
+      requestPage("", new HashSet<>(), now);
     }
   }
 
-  private void list(String after, Set<String> seen, Duration askedAt) {
-    listing = true;
-    int asked = holding;
+  private void requestPage(String after, Set<String> seen, Duration requestedAt) {
+    listInFlight = true;
+    int requestTerm = roleTerm;
     cloud.call(
         "GET",
         CloudProtocol.listPath(after),
         null,
         (status, map) -> {
-          if (asked != holding) {
+          if (requestTerm != roleTerm) {
             return;
           }
-          listing = false;
-          listedAt = loop.now();
+          listInFlight = false;
+          listReadAt = loop.now();
           if (status != 200) {
             return;
           }
           try {
             CloudProtocol.Page page = CloudProtocol.readPage(map);
             String last = after;
-            for (ListedMachine line : page.machines()) {
-              seen.add(line.machine());
-              take(line);
-              last = line.machine();
+            for (ListedMachine listed : page.machines()) {
+              seen.add(listed.machine());
+              update(listed);
+              last = listed.machine();
             }
             if (page.more() && !page.machines().isEmpty()) {
-              list(last, seen, askedAt);
+              requestPage(last, seen, requestedAt);
               return;
             }
             complete = true;
-            vanished(seen, askedAt);
+            releaseUnlisted(seen, requestedAt);
           } catch (InvalidMessageException e) {
-            malformed.tell("the machine list is unreadable", e.getMessage());
+            invalidMessages.tell("the machine list is unreadable", e.getMessage());
           }
         });
   }
 
-  private void take(ListedMachine line) {
-    if (returns.isReturned(line.machine())) {
+  private void update(ListedMachine listed) {
+    if (releaser.isReturned(listed.machine())) {
       return;
     }
     Duration now = loop.now();
-    Known k =
-        known.computeIfAbsent(
-            line.machine(),
+    RentedMachine machine =
+        machines.computeIfAbsent(
+            listed.machine(),
             name ->
-                known(
-                    new MachineOffering(line.type(), line.zone(), line.spot()),
-                    now.minusMillis((long) (line.ageS() * 1000))));
-    k.listedAt = now;
-    if (k.status != Status.FAILED) {
-      k.status = line.status();
+                newMachine(
+                    new MachineOffering(listed.type(), listed.zone(), listed.spot()),
+                    now.minusMillis((long) (listed.ageS() * 1000))));
+    machine.lastListedAt = now;
+    if (machine.status != Status.FAILED) {
+      machine.status = listed.status();
     }
-    if (k.status == Status.RUNNING && k.runningSince == null) {
-      k.runningSince = now;
+    if (machine.status == Status.RUNNING && machine.runningSince == null) {
+      machine.runningSince = now;
     }
   }
 
-  private Known known(MachineOffering kind, Duration since) {
-    MachineType type = types.apply(kind.type());
-    return new Known(kind, type == null ? 60 : type.bootS(), since);
+  private RentedMachine newMachine(MachineOffering offering, Duration rentedAt) {
+    MachineType type = machineTypes.apply(offering.type());
+    return new RentedMachine(offering, type == null ? DEFAULT_BOOT_S : type.bootS(), rentedAt);
   }
 
-  /** The cloud has answered a rental. */
-  void rented(List<String> names, MachineOffering kind, Duration askedAt) {
+  /** Adds the machines that the cloud's response to a rental names. */
+  void addRented(List<String> names, MachineOffering offering, Duration requestedAt) {
     for (String name : names) {
-      known.computeIfAbsent(name, n -> known(kind, askedAt)).rentedHere = true;
+      machines.computeIfAbsent(name, n -> newMachine(offering, requestedAt)).rentedHere = true;
     }
   }
 
+  /** Removes a machine whose deletion is confirmed. */
   void forget(String name) {
-    known.remove(name);
+    machines.remove(name);
   }
 
   /**
-   * Machines that are no longer listed were deleted or taken. Their absence proves nothing, so the
-   * deletion is asked for, which is answered at once for what is gone.
+   * Marks machines that are no longer listed for deletion; they were deleted, or the cloud took
+   * them away. Their absence from the list proves nothing, but the cloud confirms a deletion at
+   * once if the machine is gone.
    */
-  private void vanished(Set<String> seen, Duration askedAt) {
-    for (Map.Entry<String, Known> entry : List.copyOf(known.entrySet())) {
-      Known k = entry.getValue();
-      Duration last = k.listedAt == null ? k.since : k.listedAt;
-      if (!seen.contains(entry.getKey()) && askedAt.minus(last).compareTo(listAge) > 0) {
-        returns.mark(entry.getKey(), "it is no longer listed");
+  private void releaseUnlisted(Set<String> seen, Duration requestedAt) {
+    for (Map.Entry<String, RentedMachine> entry : List.copyOf(machines.entrySet())) {
+      RentedMachine machine = entry.getValue();
+      Duration lastKnownAt = machine.lastListedAt == null ? machine.rentedAt : machine.lastListedAt;
+      if (!seen.contains(entry.getKey())
+          && requestedAt.minus(lastKnownAt).compareTo(maxListAge) > 0) {
+        releaser.markForDeletion(entry.getKey(), "it is no longer listed");
       }
     }
-    for (MachineRecord record : world.machines().values()) {
+    for (MachineRecord record : clusterState.machines().values()) {
       if (!seen.contains(record.name())
-          && !known.containsKey(record.name())
-          && askedAt.minus(heldSince).compareTo(listAge) > 0) {
+          && !machines.containsKey(record.name())
+          && requestedAt.minus(roleSince).compareTo(maxListAge) > 0) {
         MachineView view = views.apply(record.name());
-        if (view == null || view.silentMs() > 6000) {
-          returns.mark(record.name(), "it is not listed");
+        if (view == null || view.silentMs() > UNLISTED_SILENT_MS) {
+          releaser.markForDeletion(record.name(), "it is not listed");
         }
       }
     }
   }
 
-  /** Finds what failed, and what nobody owns though it should be up: some machines never come up. */
-  void judge(Duration now) {
-    boots.recount();
-    for (Map.Entry<String, Known> entry : known.entrySet()) {
-      Known k = entry.getValue();
-      if (k.status == Status.FAILED) {
-        returns.mark(entry.getKey(), "the cloud lists it as failed");
+  /**
+   * Marks machines for deletion that failed, or that have no owner though they should be up: some
+   * machines never come up. Also counts the booting machines and learns boot times.
+   */
+  void releaseFailed(Duration now) {
+    bootTimes.resetCounts();
+    for (Map.Entry<String, RentedMachine> entry : machines.entrySet()) {
+      RentedMachine machine = entry.getValue();
+      if (machine.status == Status.FAILED) {
+        releaser.markForDeletion(entry.getKey(), "the cloud lists it as failed");
       }
-      if (world.machine(entry.getKey()) == null) {
-        boots.count(k.kind.type(), k.statedBootS, k.ageS(now));
+      if (clusterState.machine(entry.getKey()) == null) {
+        bootTimes.countBooting(machine.offering.type(), machine.statedBootS, machine.ageS(now));
         continue;
       }
-      k.ownedAt = now;
-      if (!k.cameUp) {
-        k.cameUp = true;
-        if (k.rentedHere) {
-          boots.cameUp(k.kind.type(), k.ageS(now));
+      machine.lastOwnedAt = now;
+      if (!machine.cameUp) {
+        machine.cameUp = true;
+        if (machine.rentedHere) {
+          bootTimes.addSample(machine.offering.type(), machine.ageS(now));
         }
       }
     }
-    for (Map.Entry<String, Known> entry : known.entrySet()) {
-      Known k = entry.getValue();
-      if (world.machine(entry.getKey()) != null) {
+    for (Map.Entry<String, RentedMachine> entry : machines.entrySet()) {
+      RentedMachine machine = entry.getValue();
+      if (clusterState.machine(entry.getKey()) != null) {
         continue;
       }
-      if (k.runningSince != null) {
-        boolean owned = k.ownedAt.compareTo(k.runningSince) > 0;
-        if (now.minus(owned ? k.ownedAt : k.runningSince).compareTo(UNCLAIMED) > 0) {
-          returns.mark(entry.getKey(), "it runs and never reported");
+      if (machine.runningSince != null) {
+        boolean ownedSince = machine.lastOwnedAt.compareTo(machine.runningSince) > 0;
+        if (now.minus(ownedSince ? machine.lastOwnedAt : machine.runningSince)
+                .compareTo(UNCLAIMED_TIMEOUT)
+            > 0) {
+          releaser.markForDeletion(entry.getKey(), "it runs and never reported");
         }
-      } else if (boots.hopeless(k.kind.type(), k.statedBootS, k.ageS(now))) {
-        returns.mark(entry.getKey(), "it never came up");
+      } else if (bootTimes.timedOut(
+          machine.offering.type(), machine.statedBootS, machine.ageS(now))) {
+        releaser.markForDeletion(entry.getKey(), "it never came up");
       }
     }
   }
 
-  /** How many machines are waited for in vain at this time. */
+  /** Number of booting machines that are overdue. */
   int overdue() {
-    return boots.overdue();
+    return bootTimes.overdue();
   }
 
-  /** It was claimed and has not shown that it heard of it: it will at once, or has long ended. */
-  private boolean arriving(String name) {
+  /**
+   * Whether the machine is claimed, but its worker has not acknowledged any token yet. Either it
+   * will within moments, or it ended long ago.
+   */
+  private boolean awaitingFirstToken(String name) {
     MachineView view = views.apply(name);
     return view != null && view.report().token() == 0;
   }
 
-  /** What counts as room about to come. */
+  /** The machines that count as pending capacity. */
   List<MachineOffering> booting(Duration now) {
     List<MachineOffering> booting = new ArrayList<>();
-    for (Map.Entry<String, Known> entry : known.entrySet()) {
-      Known k = entry.getValue();
-      if ((world.machine(entry.getKey()) == null || arriving(entry.getKey()))
-          && k.status != Status.FAILED
-          && !returns.isMarked(entry.getKey())
-          && boots.counts(k.kind.type(), k.statedBootS, k.ageS(now))) {
-        booting.add(k.kind);
+    for (Map.Entry<String, RentedMachine> entry : machines.entrySet()) {
+      RentedMachine machine = entry.getValue();
+      if ((clusterState.machine(entry.getKey()) == null || awaitingFirstToken(entry.getKey()))
+          && machine.status != Status.FAILED
+          && !releaser.isMarkedForDeletion(entry.getKey())
+          && bootTimes.countsAsPending(
+              machine.offering.type(), machine.statedBootS, machine.ageS(now))) {
+        booting.add(machine.offering);
       }
     }
     return booting;
--- a/src/main/java/io/tansystack/fleet/JobArrivals.java
+++ b/src/main/java/io/tansystack/fleet/JobArrivals.java
@@ -11,81 +11,86 @@
 import java.util.function.Predicate;
 
 /**
- * How much work has come lately: what comes while a machine boots is what machines have to be kept ready
- * for. Jobs are counted when they are first seen.
+ * Recent arrivals of jobs. Idle machines have to be kept ready for the jobs that arrive while
+ * another machine boots. A job counts as arrived when it is first seen here.
  */
 final class JobArrivals {
-  private static final Duration REMEMBERED = Duration.ofMinutes(5);
-  private static final int MAX_REMEMBERED = 20_000;
+  private static final Duration MAX_AGE = Duration.ofMinutes(5);
+  private static final int MAX_ARRIVALS = 20_000;
 
-  /** Boot times counted: one alone would see too few. */
-  private static final int BOOTS = 3;
+  /** Arrivals are averaged over this many boot times, because too few come during a single one. */
+  private static final int BOOT_TIMES = 3;
 
-  /** Jobs must have come for so long before their rate tells anything. */
-  private static final Duration LONG = Duration.ofMinutes(1);
+  /** The arrival rate is meaningful only if jobs arrived for at least this long. */
+  private static final Duration MIN_ARRIVAL_SPAN = Duration.ofMinutes(1);
 
-  /** Where so many were to be expected, it is no chance that none came. */
-  private static final int MANY = 12;
+  /** If this many arrivals were expected and none came, that is no coincidence. */
+  private static final int MIN_MISSING = 12;
 
-  private record Come(JobSpec spec, Duration at) {}
+  private record Arrival(JobSpec spec, Duration at) {}
 
   private final Set<String> seen = new HashSet<>();
-  private final ArrayDeque<Come> come = new ArrayDeque<>();
-  private Duration since = Duration.ZERO;
-  private boolean first = true;
+  private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
+  private Duration observedSince = Duration.ZERO;
+  private boolean firstUpdate = true;
 
-  /** What there is from here on is not known to have come lately. */
-  void startAnew(Duration now) {
+  /** Starts anew: jobs that the next update finds are not known to have arrived recently. */
+  void reset(Duration now) {
     seen.clear();
-    come.clear();
-    since = now;
-    first = true;
+    arrivals.clear();
+    observedSince = now;
+    firstUpdate = true;
   }
 
-  /** Looks for jobs that have come. */
-  void look(Map<String, Job> jobs, Duration now) {
+  /** Records jobs that are new since the last update. */
+  void update(Map<String, Job> jobs, Duration now) {
     seen.retainAll(jobs.keySet());
     for (Map.Entry<String, Job> entry : jobs.entrySet()) {
-      if (seen.add(entry.getKey()) && !first) {
-        come.add(new Come(entry.getValue().record().spec(), now));
+      if (seen.add(entry.getKey()) && !firstUpdate) {
+        arrivals.add(new Arrival(entry.getValue().record().spec(), now));
       }
     }
-    first = false;
-    while (!come.isEmpty()
-        && (come.size() > MAX_REMEMBERED || now.minus(come.peek().at).compareTo(REMEMBERED) > 0)) {
-      come.poll();
+    firstUpdate = false;
+    while (!arrivals.isEmpty()
+        && (arrivals.size() > MAX_ARRIVALS
+            || now.minus(arrivals.peek().at).compareTo(MAX_AGE) > 0)) {
+      arrivals.poll();
     }
   }
 
   /**
-   * So many machines of the type would be taken by what comes while one boots, or more than there can be
-   * where that is not known yet.
+   * Number of machines of the type that the jobs arriving during one boot time need, or {@link
+   * Double#MAX_VALUE} if arrivals were not observed for long enough.
    *
-   * @param counts whose tasks are to be counted; one at least has to fit on the type
+   * @param counts jobs to be counted; at least one task of each must fit on a machine of the type
    */
-  double machinesWhile(MachineType type, Predicate<JobSpec> counts, Duration now) {
-    Duration boot = Duration.ofMillis((long) (type.bootS() * 1000));
-    Duration window = boot.multipliedBy(BOOTS);
-    if (now.minus(since).compareTo(window) < 0) {
+  double machinesNeededPerBoot(MachineType type, Predicate<JobSpec> counts, Duration now) {
+    Duration bootTime = Duration.ofMillis((long) (type.bootS() * 1000));
+    Duration window = bootTime.multipliedBy(BOOT_TIMES);
+    if (now.minus(observedSince).compareTo(window) < 0) {
       return Double.MAX_VALUE;
     }
     double machines = 0;
-    for (Come one : come) {
-      if (counts.test(one.spec) && now.minus(one.at).compareTo(window) < 0) {
-        machines += (double) one.spec.tasks() / type.capacityFor(one.spec);
+    for (Arrival arrival : arrivals) {
+      if (counts.test(arrival.spec) && now.minus(arrival.at).compareTo(window) < 0) {
+        machines += (double) arrival.spec.tasks() / type.capacityFor(arrival.spec);
       }
     }
-    return machines / BOOTS;
+    return machines / BOOT_TIMES;
   }
 
-  /** Whether jobs came all the time, and none has for a while in which many were to be expected. */
-  boolean haveEnded(Duration now) {
-    if (come.isEmpty()) {
+  /**
+   * Whether jobs used to arrive steadily, and none has arrived for a time in which more than {@link
+   * #MIN_MISSING} were to be expected.
+   */
+  boolean haveStopped(Duration now) {
+    if (arrivals.isEmpty()) {
       return false;
     }
-    Duration last = come.getLast().at;
-    Duration over = last.minus(come.getFirst().at);
-    double rate = come.size() / Math.max(1, over.toMillis() / 1000.0);
-    return over.compareTo(LONG) > 0 && rate * now.minus(last).toMillis() / 1000.0 > MANY;
+    Duration last = arrivals.getLast().at;
+    Duration span = last.minus(arrivals.getFirst().at);
+    double rate = arrivals.size() / Math.max(1, span.toMillis() / 1000.0);
+    return span.compareTo(MIN_ARRIVAL_SPAN) > 0
+        && rate * now.minus(last).toMillis() / 1000.0 > MIN_MISSING;
   }
 }
--- a/src/main/java/io/tansystack/fleet/MachineRecordWriter.java
+++ b/src/main/java/io/tansystack/fleet/MachineRecordWriter.java
@@ -13,66 +13,69 @@
 import java.util.Set;
 
 /**
- * Changes of machines' records that can wait: emptying what is idle, and removing what is gone and had
- * nothing on it. When work ends, hundreds of machines ask for it within a second. Among the urgent
- * transactions they would fill that queue for good, and no placement would be written again until the
- * fleet was gone (dunavtrack, day rough: 180 s without one while 75 jobs waited). So they are gathered,
- * a few share a transaction, and they take what placements leave of the write limit.
+ * Writes changes of machine records that can wait: draining idle machines, and removing machines
+ * that are gone and had no task. When work ends, hundreds of these changes are due within a second.
+ * As urgent transactions they would keep that queue full, and no placement would be written until
+ * the fleet was gone (seen in the run dunavtrack, day rough: no placement for 180 s while 75 jobs
+ * waited). So the changes are batched, a few in one transaction, and use the part of the write
+ * limit that placements leave.
  */
 final class MachineRecordWriter {
-  /** Few enough for a controller's part of any write limit to hold twice as many. */
-  private static final int AT_ONCE = 5;
+  /** So few that a controller's share of any write limit can hold twice as many. */
+  private static final int MAX_BATCH = 5;
 
-  private static final int MAX_OPEN = 2;
+  private static final int MAX_IN_FLIGHT = 2;
 
-  private record Wanted(Condition condition, Write write, CommitCallback then) {}
+  private record PendingWrite(Condition condition, Write write, CommitCallback callback) {}
 
   private final StoreClient store;
-  private final Map<String, Wanted> waiting = new LinkedHashMap<>();
+  private final Map<String, PendingWrite> pending = new LinkedHashMap<>();
 
-  /** Those whose transaction failed: the next time their failure is theirs alone. */
-  private final Set<String> alone = new HashSet<>();
+  /**
+   * Machines whose transaction failed. They are written individually next, to isolate the failure.
+   */
+  private final Set<String> sendAlone = new HashSet<>();
 
-  private int open;
+  private int inFlight;
 
   MachineRecordWriter(StoreClient store) {
     this.store = store;
   }
 
-  /** Asks for a change of the machine's record; a later one replaces one that was not sent yet. */
-  void add(String machine, Condition condition, Write write, CommitCallback then) {
-    waiting.put(machine, new Wanted(condition, write, then));
+  /** Queues a change of the machine's record; it replaces one that was not sent yet. */
+  void add(String machine, Condition condition, Write write, CommitCallback callback) {
+    pending.put(machine, new PendingWrite(condition, write, callback));
   }
 
-  /** Takes back what was not sent yet. */
-  void drop(String machine) {
-    waiting.remove(machine);
+  /** Cancels the machine's change if it was not sent yet; its callback is not called. */
+  void cancel(String machine) {
+    pending.remove(machine);
   }
 
-  /** Nothing that was asked for before counts; whoever asked is told so. */
-  void startAnew() {
-    List<Wanted> dropped = List.copyOf(waiting.values());
-    waiting.clear();
-    alone.clear();
-    dropped.forEach(wanted -> wanted.then.done(CommitResult.REFUSED, 0));
+  /** Drops all changes that were not sent yet; their callbacks receive {@code REFUSED}. */
+  void reset() {
+    List<PendingWrite> dropped = List.copyOf(pending.values());
+    pending.clear();
+    sendAlone.clear();
+    dropped.forEach(change -> change.callback.done(CommitResult.REFUSED, 0));
   }
 
-  /** Sends what the write limit has room for. */
+  /** Sends as many queued changes as the write limit leaves for them. */
   void send() {
-    while (open < MAX_OPEN && !waiting.isEmpty()) {
-      List<String> batch = next();
-      if (!store.reserveSpare(batch.size())) {
+    while (inFlight < MAX_IN_FLIGHT && !pending.isEmpty()) {
+      List<String> batch = nextBatch();
+      if (!store.reserveIfAmple(batch.size())) {
         return;
       }
       send(batch);
     }
   }
 
-  private List<String> next() {
+  private List<String> nextBatch() {
     List<String> batch = new ArrayList<>();
-    for (String machine : waiting.keySet()) {
-      boolean single = alone.contains(machine);
-      if (batch.size() == AT_ONCE || (single && !batch.isEmpty())) {
+    for (String machine : pending.keySet()) {
+      boolean single = sendAlone.contains(machine);
+      if (batch.size() == MAX_BATCH || (single && !batch.isEmpty())) {
         break;
       }
       batch.add(machine);
@@ -86,25 +89,25 @@
   private void send(List<String> batch) {
     List<Condition> conditions = new ArrayList<>();
     List<Write> writes = new ArrayList<>();
-    List<CommitCallback> told = new ArrayList<>();
+    List<CommitCallback> callbacks = new ArrayList<>();
     for (String machine : batch) {
-      Wanted wanted = waiting.remove(machine);
-      conditions.add(wanted.condition);
-      writes.add(wanted.write);
-      told.add(wanted.then);
+      PendingWrite change = pending.remove(machine);
+      conditions.add(change.condition);
+      writes.add(change.write);
+      callbacks.add(change.callback);
     }
-    open++;
+    inFlight++;
     store.commitReserved(
         conditions,
         writes,
         (result, revision) -> {
-          open--;
+          inFlight--;
           if (result == CommitResult.DONE) {
-            batch.forEach(alone::remove);
+            batch.forEach(sendAlone::remove);
           } else if (result == CommitResult.CONFLICT || result == CommitResult.MALFORMED) {
-            alone.addAll(batch);
+            sendAlone.addAll(batch);
           }
-          told.forEach(then -> then.done(result, revision));
+          callbacks.forEach(callback -> callback.done(result, revision));
         });
   }
 }
--- a/src/main/java/io/tansystack/fleet/MachineReleaser.java
+++ b/src/main/java/io/tansystack/fleet/MachineReleaser.java
@@ -20,64 +20,68 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Empties machines and gives them back. A confirmed deletion is the proof that all on it is over. */
+/**
+ * Drains machines and returns them to the cloud. A confirmed deletion proves that all attempts on
+ * the machine have ended.
+ */
 final class MachineReleaser {
   private static final Logger log = LoggerFactory.getLogger(MachineReleaser.class);
-  private static final int MAX_REMEMBERED = 2000;
+  private static final int MAX_RETURNED = 2000;
 
   private final EventLoop loop;
   private final CloudClient cloud;
   private final StoreClient store;
-  private final ClusterState world;
-  private final MachineRecordWriter writes;
-  private final Map<String, String> marked = new LinkedHashMap<>();
+  private final ClusterState clusterState;
+  private final MachineRecordWriter recordWriter;
+  private final Map<String, String> pendingDeletions = new LinkedHashMap<>();
   private final Set<String> returned = new LinkedHashSet<>();
   private final Set<String> draining = new HashSet<>();
   private Consumer<String> onReturned = name -> {};
-  private boolean calling;
+  private boolean callInFlight;
 
-  MachineReleaser(EventLoop loop, CloudClient cloud, StoreClient store, ClusterState world) {
+  MachineReleaser(EventLoop loop, CloudClient cloud, StoreClient store, ClusterState clusterState) {
     this.loop = loop;
     this.cloud = cloud;
     this.store = store;
-    this.world = world;
-    this.writes = new MachineRecordWriter(store);
+    this.clusterState = clusterState;
+    this.recordWriter = new MachineRecordWriter(store);
   }
 
-  /** Who is told of each machine that the cloud has confirmed as deleted. */
+  /** Sets the listener for the names of machines whose deletion the cloud has confirmed. */
   void onReturned(Consumer<String> listener) {
     this.onReturned = listener;
   }
 
-  /** Nothing that was decided before counts. */
-  void startAnew() {
-    marked.clear();
+  /** Discards all earlier decisions. */
+  void reset() {
+    pendingDeletions.clear();
     draining.clear();
-    writes.startAnew();
+    recordWriter.reset();
   }
 
-  /** The machine is to be deleted with the next call. */
-  void mark(String name, String why) {
-    if (!returned.contains(name) && marked.putIfAbsent(name, why) == null) {
+  /** Has the machine deleted with one of the next calls, unless that is confirmed already. */
+  void markForDeletion(String name, String why) {
+    if (!returned.contains(name) && pendingDeletions.putIfAbsent(name, why) == null) {
       log.info("return machine={} because={}", name, why);
     }
   }
 
-  boolean isMarked(String name) {
-    return marked.containsKey(name);
+  boolean isMarkedForDeletion(String name) {
+    return pendingDeletions.containsKey(name);
   }
 
+  /** Whether the cloud has confirmed the machine's deletion; only recent ones are remembered. */
   boolean isReturned(String name) {
     return returned.contains(name);
   }
 
-  /** Has the machine emptied; it is returned once nothing is recorded on it. */
+  /** Drains the machine; it is returned once no record places a task on it. */
   void drain(MachineRecord record, String why) {
     if (!draining.add(record.name())) {
       return;
     }
     String key = ClusterState.machineKey(record.name());
-    writes.add(
+    recordWriter.add(
         record.name(),
         record.condition(),
         new Write(key, record.draining().write(), 0),
@@ -89,74 +93,78 @@
         });
   }
 
-  /** Work has come to a machine that was to be emptied as idle. */
-  void keep(String name) {
+  /** Cancels the drain of an idle machine that got work, if its record is not written yet. */
+  void cancelDrain(String name) {
     if (draining.remove(name)) {
-      writes.drop(name);
+      recordWriter.cancel(name);
     }
   }
 
-  /** Deletes what is marked, as many as one call takes; one call at a time. */
+  /** Deletes marked machines, as many as one call takes, with one call at a time. */
   void send() {
-    writes.send();
-    draining.retainAll(world.machines().keySet());
-    if (calling || marked.isEmpty() || !cloud.take()) {
+    recordWriter.send();
+    draining.retainAll(clusterState.machines().keySet());
+    if (callInFlight || pendingDeletions.isEmpty() || !cloud.tryAcquire()) {
       return;
     }
     List<String> batch = new ArrayList<>();
-    for (String name : marked.keySet()) {
+    for (String name : pendingDeletions.keySet()) {
       if (batch.size() < CloudProtocol.MAX_DELETE) {
         batch.add(name);
       }
     }
-    calling = true;
+    callInFlight = true;
     cloud.call(
         "POST",
         "/machines/delete",
         CloudProtocol.delete(batch),
         (status, map) -> {
-          calling = false;
+          callInFlight = false;
           if (status != 200) {
             log.info("deletion of {} machines not confirmed: {}", batch.size(), status);
             return;
           }
-          batch.forEach(this::confirmed);
+          batch.forEach(this::onDeletionConfirmed);
         });
   }
 
-  private void confirmed(String name) {
-    marked.remove(name);
+  private void onDeletionConfirmed(String name) {
+    pendingDeletions.remove(name);
     returned.add(name);
-    if (returned.size() > MAX_REMEMBERED) {
+    if (returned.size() > MAX_RETURNED) {
       returned.remove(returned.iterator().next());
     }
     onReturned.accept(name);
-    MachineRecord record = world.machine(name);
+    MachineRecord record = clusterState.machine(name);
     if (record == null) {
       return;
     }
-    CommitCallback then =
+    CommitCallback callback =
         (result, revision) -> {
           if (result == CommitResult.DONE) {
             log.info("gone machine={} because=the cloud confirmed its deletion", name);
           } else {
-            // The deletion is a fact; it can be confirmed again and written then.
+            // The machine stays deleted: the cloud can confirm it again, and it is written then.
             returned.remove(name);
             loop.after(
                 Duration.ofMillis(500),
                 () -> {
-                  if (world.machine(name) != null) {
-                    mark(name, "its record is still to be removed");
+                  if (clusterState.machine(name) != null) {
+                    markForDeletion(name, "its record is still to be removed");
                   }
                 });
           }
         };
-    // Without the condition, a deletion decided before the copy showed a lot would uncover what that says.
-    if (world.placedOn(name).isEmpty()) {
-      writes.add(name, record.condition(), world.deletion(name), then);
+    // The condition is needed: if the deletion was decided before the cache showed a claim batch,
+    // then without the machine's individual record the claim in that batch would take effect again.
+    if (clusterState.placedOn(name).isEmpty()) {
+      recordWriter.add(name, record.condition(), clusterState.deletion(name), callback);
     } else {
       store.commitUrgent(
-          List.of(record.condition()), List.of(world.deletion(name)), Duration.ofSeconds(3), then);
+          List.of(record.condition()),
+          List.of(clusterState.deletion(name)),
+          Duration.ofSeconds(3),
+          callback);
     }
   }
 }
--- a/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
+++ b/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
@@ -18,52 +18,56 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Knows the machine types. They are kept in the state service too, so that a controller that starts
- * while the cloud is away can still tell what can run.
+ * The machine types that the cloud offers. They are stored in the state service too, so that a
+ * controller that starts while the cloud is unavailable still knows which tasks can run.
  */
 public final class MachineTypeCatalog {
-  private static final Duration REFRESH = Duration.ofMinutes(3);
+  private static final Duration REFRESH_INTERVAL = Duration.ofMinutes(3);
 
-  private final ThrottledLogger malformed =
+  private final ThrottledLogger invalidMessages =
       new ThrottledLogger(LoggerFactory.getLogger(MachineTypeCatalog.class));
   private final EventLoop loop;
   private final StoreClient store;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final CloudClient cloud;
   private Map<String, MachineType> types = Map.of();
-  private ObjectNode readFrom;
-  private boolean asked;
+
+  /** The stored record that was read last; null if none was read. */
+  private ObjectNode loadedRecord;
+
+  private boolean loadedFromCloud;
 
   public MachineTypeCatalog(
       EventLoop loop,
       StoreClient store,
-      ClusterState world,
-      HttpClient caller,
+      ClusterState clusterState,
+      HttpClient httpClient,
       PlatformSettings settings) {
     this.loop = loop;
     this.store = store;
-    this.world = world;
-    this.cloud = new CloudClient(caller, loop, settings.cloud(), settings.cloudLimits().rps());
+    this.clusterState = clusterState;
+    this.cloud = new CloudClient(httpClient, loop, settings.cloud(), settings.cloudLimits().rps());
   }
 
+  /** Reads the types from the cloud now and then periodically. */
   public void start() {
     cloud.call(
         "GET",
         "/machine_types",
         null,
         (status, map) -> {
-          boolean ok = status == 200 && take(map);
-          if (ok && !map.equals(world.machineTypes())) {
-            keep(map);
+          boolean ok = status == 200 && load(map);
+          if (ok && !map.equals(clusterState.machineTypes())) {
+            persist(map);
           }
-          asked |= ok;
-          loop.after(ok ? REFRESH : Duration.ofSeconds(2), this::start);
+          loadedFromCloud |= ok;
+          loop.after(ok ? REFRESH_INTERVAL : Duration.ofSeconds(2), this::start);
         });
   }
 
-  private void keep(ObjectNode map) {
-    if (world.machineTypes() != null) {
-      return; // Prices move all the time; what a machine holds does not.
+  private void persist(ObjectNode map) {
+    if (clusterState.machineTypes() != null) {
+      return; // Prices change all the time, but the machines' capacity doesn't.
     }
     store.commitUrgent(
         List.of(),
@@ -72,7 +76,8 @@
         (r, v) -> {});
   }
 
-  private boolean take(ObjectNode map) {
+  /** Replaces the types by those in the map; false if it is unreadable or has none. */
+  private boolean load(ObjectNode map) {
     try {
       Map<String, MachineType> next = new LinkedHashMap<>();
       for (MachineType type : MachineType.readAll(map)) {
@@ -81,19 +86,21 @@
       types = next;
       return !next.isEmpty();
     } catch (InvalidMessageException e) {
-      malformed.tell("machine types are unreadable", e.getMessage());
+      invalidMessages.tell("machine types are unreadable", e.getMessage());
       return false;
     }
   }
 
+  /** All types, from the stored record until the cloud has been read; empty if none are known. */
   public Collection<MachineType> all() {
-    if (!asked && world.machineTypes() != null && world.machineTypes() != readFrom) {
-      readFrom = world.machineTypes();
-      take(readFrom);
+    if (!loadedFromCloud && clusterState.machineTypes() != null && clusterState.machineTypes() != loadedRecord) {
+      loadedRecord = clusterState.machineTypes();
+      load(loadedRecord);
     }
     return types.values();
   }
 
+  /** The type of this name; null if it is not known. */
   public MachineType get(String name) {
     all();
     return types.get(name);
--- a/src/main/java/io/tansystack/fleet/Rentals.java
+++ b/src/main/java/io/tansystack/fleet/Rentals.java
@@ -31,117 +31,122 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents what is lacking, all of it at once. Every request is written to {@code ts/rentals} before it
- * is sent, on the condition that the fleet is still held, and stays there until it is answered and
- * the machine list shows what came of it. So whoever takes the duty over knows at once what is about
- * to come, and asks again under the same name for what was not answered: the cloud rents nothing
- * twice under one name.
+ * Rents machines for the whole shortage at once. Every request is written to a journal, {@code
+ * ts/rentals}, before it is sent, on the condition that this controller still holds the fleet
+ * record. It stays there until the cloud has responded and the machine list shows the result. So
+ * the next autoscaler knows at once which machines are pending, and repeats requests without a
+ * response under the same ID: the cloud never rents twice under one ID.
  */
 final class Rentals {
   private static final Logger log = LoggerFactory.getLogger(Rentals.class);
-  private static final Duration ASK_AGAIN = Duration.ofSeconds(2);
-  private static final Duration TROUBLE_PAUSE = Duration.ofSeconds(2);
-  private static final Duration FLUSH = Duration.ofSeconds(1);
+  private static final Duration RETRY_DELAY = Duration.ofSeconds(2);
 
-  /** The journal has to fit into one value; more is waited for until some are over. */
-  private static final int MAX_OPEN = 60;
+  /** An offering is not requested again for this time after an error other than no capacity. */
+  private static final Duration ERROR_PAUSE = Duration.ofSeconds(2);
 
-  /** A request. */
+  /** Minimum time between journal writes that only remove or update requests. */
+  private static final Duration JOURNAL_INTERVAL = Duration.ofSeconds(1);
+
+  /** The journal has to fit into one value; further requests wait until some are completed. */
+  private static final int MAX_REQUESTS = 60;
+
+  /** A request for machines of one offering. */
   private static final class Request {
     final String id;
-    final MachineOffering kind;
+    final MachineOffering offering;
     final int count;
 
-    /** How many came of it; -1 while that is unknown. */
-    int got = -1;
+    /** Number of machines that were rented; -1 until the cloud has responded. */
+    int rentedCount = -1;
 
-    /** When it was answered here, or found answered. */
+    /** When the response arrived here, or when it was found in the journal. */
     Duration answeredAt;
 
-    /** Whether this controller was told the names; else they come with the list only. */
-    boolean named;
+    /** Whether this controller received the names; otherwise only the machine list has them. */
+    boolean namesKnown;
 
-    boolean calling;
-    Duration askAt = Duration.ZERO;
+    boolean callInFlight;
+    Duration nextTryAt = Duration.ZERO;
 
-    Request(String id, MachineOffering kind, int count) {
+    Request(String id, MachineOffering offering, int count) {
       this.id = id;
-      this.kind = kind;
+      this.offering = offering;
       this.count = count;
     }
 
     ObjectNode write() {
-      ObjectNode map = Cbor.map().put("id", id).put("type", kind.type()).put("zone", kind.zone());
-      return map.put("spot", kind.spot()).put("count", count).put("got", got);
+      ObjectNode map =
+          Cbor.map().put("id", id).put("type", offering.type()).put("zone", offering.zone());
+      return map.put("spot", offering.spot()).put("count", count).put("got", rentedCount);
     }
 
     static Request read(ObjectNode map, Duration now) throws InvalidMessageException {
-      MachineOffering kind =
+      MachineOffering offering =
           new MachineOffering(
               FieldReader.text(map, "type"),
               FieldReader.text(map, "zone"),
               FieldReader.flag(map, "spot"));
       int count = (int) FieldReader.integer(map, "count", 1, CloudProtocol.MAX_RENT);
-      Request request = new Request(FieldReader.text(map, "id"), kind, count);
-      request.got = Math.min(map.path("got").asInt(-1), count);
-      request.answeredAt = request.got < 0 ? null : now;
+      Request request = new Request(FieldReader.text(map, "id"), offering, count);
+      request.rentedCount = Math.min(map.path("got").asInt(-1), count);
+      request.answeredAt = request.rentedCount < 0 ? null : now;
       return request;
     }
   }
 
-  private final ThrottledLogger malformed = new ThrottledLogger(log);
+  private final ThrottledLogger invalidMessages = new ThrottledLogger(log);
   private final EventLoop loop;
   private final CloudClient cloud;
   private final StoreClient store;
-  private final ClusterState world;
+  private final ClusterState clusterState;
   private final Inventory inventory;
   private final OperatorSettings operator;
-  private final Supplier<Map<String, MachineType>> types;
-  private final Duration listAge;
+  private final Supplier<Map<String, MachineType>> machineTypes;
+  private final Duration maxListAge;
   private final Map<String, Request> requests = new LinkedHashMap<>();
   private final Map<MachineOffering, Duration> blockedUntil = new HashMap<>();
   private final Map<MachineOffering, Integer> refusals = new HashMap<>();
   private long fleetVersion;
   private long journalVersion;
   private long counter;
-  private Duration heldSince = Duration.ZERO;
-  private boolean inherited;
-  private boolean writing;
-  private boolean dirty;
-  private Duration writtenAt = Duration.ZERO;
-  private String waitsFor = "";
+  private Duration roleSince = Duration.ZERO;
+  private boolean journalExists;
+  private boolean journalWriteInFlight;
+  private boolean journalDirty;
+  private Duration journalWrittenAt = Duration.ZERO;
+  private String waitReason = "";
 
   Rentals(
       EventLoop loop,
       CloudClient cloud,
       StoreClient store,
-      ClusterState world,
+      ClusterState clusterState,
       Inventory inventory,
       OperatorSettings operator,
-      Supplier<Map<String, MachineType>> types,
-      Duration listAge) {
+      Supplier<Map<String, MachineType>> machineTypes,
+      Duration maxListAge) {
     this.loop = loop;
     this.cloud = cloud;
     this.store = store;
-    this.world = world;
+    this.clusterState = clusterState;
     this.inventory = inventory;
     this.operator = operator;
-    this.types = types;
-    this.listAge = listAge;
+    this.machineTypes = machineTypes;
+    this.maxListAge = maxListAge;
   }
 
-  /** The duty was taken, or this process stood still while it had it. */
-  void startAnew(Duration now) {
-    heldSince = now;
-    if (fleetVersion != world.autoscaler().version()) {
-      fleetVersion = world.autoscaler().version();
-      counter = 0; // Names of an earlier holding have its version in them.
+  /** Called when the role was taken, or when this process was paused while it held the role. */
+  void reset(Duration now) {
+    roleSince = now;
+    if (fleetVersion != clusterState.autoscaler().version()) {
+      fleetVersion = clusterState.autoscaler().version();
+      counter = 0; // Request IDs stay unique, because they contain the fleet version.
     }
     requests.clear();
     blockedUntil.clear();
-    waitsFor = "";
-    ClusterState.RentalJournal journal = world.rentals();
-    inherited = journal != null;
+    waitReason = "";
+    ClusterState.RentalJournal journal = clusterState.rentals();
+    journalExists = journal != null;
     if (journal == null) {
       return;
     }
@@ -151,103 +156,113 @@
         Request request = Request.read(FieldReader.map(node, "requests"), now);
         requests.put(request.id, request);
       }
-      log.info("rentals of before: {}", requests.keySet());
+      log.info("rental requests in the journal: {}", requests.keySet());
     } catch (InvalidMessageException e) {
-      log.warn("the journal of rentals is unreadable: {}", e.getMessage());
-      inherited = false;
+      log.warn("the rental journal is unreadable: {}", e.getMessage());
+      journalExists = false;
     }
   }
 
-  /** Machines asked for that no list and no answer to this controller has named yet. */
-  List<MachineOffering> coming() {
-    List<MachineOffering> coming = new ArrayList<>();
+  /** Requested machines whose names this controller has not received in a response yet. */
+  List<MachineOffering> pendingMachines() {
+    List<MachineOffering> pending = new ArrayList<>();
     for (Request r : requests.values()) {
-      if (!r.named) {
-        coming.addAll(Collections.nCopies(r.got < 0 ? r.count : r.got, r.kind));
+      if (!r.namesKnown) {
+        pending.addAll(
+            Collections.nCopies(r.rentedCount < 0 ? r.count : r.rentedCount, r.offering));
       }
     }
-    return coming;
+    return pending;
   }
 
-  /** Rents what found no room, beyond what is coming. */
-  void turn(List<UnmetDemand> unmet, Duration now) {
-    dirty |=
+  /** Rents machines for unmet demand, as far as pending machines don't cover it. */
+  void tick(List<UnmetDemand> unmet, Duration now) {
+    journalDirty |=
         requests.values().removeIf(
-            r -> r.got >= 0 && now.minus(r.answeredAt).compareTo(listAge) > 0);
+            r -> r.rentedCount >= 0 && now.minus(r.answeredAt).compareTo(maxListAge) > 0);
     for (Request r : List.copyOf(requests.values())) {
-      if (r.got < 0 && !r.calling && now.compareTo(r.askAt) >= 0 && cloud.take()) {
-        ask(r);
+      if (r.rentedCount < 0
+          && !r.callInFlight
+          && now.compareTo(r.nextTryAt) >= 0
+          && cloud.tryAcquire()) {
+        send(r);
       }
     }
-    if (writing) {
+    if (journalWriteInFlight) {
       return;
     }
-    List<Request> wanted = decide(unmet, now);
-    if (!wanted.isEmpty() || (dirty && now.minus(writtenAt).compareTo(FLUSH) > 0)) {
-      write(wanted);
+    List<Request> newRequests = planRequests(unmet, now);
+    if (!newRequests.isEmpty()
+        || (journalDirty && now.minus(journalWrittenAt).compareTo(JOURNAL_INTERVAL) > 0)) {
+      writeJournal(newRequests);
     }
   }
 
-  /** As many requests as calls may be made now, the most urgent first: what is left is decided anew. */
-  private List<Request> decide(List<UnmetDemand> unmet, Duration now) {
-    int calls = Math.min(cloud.available(), MAX_OPEN - requests.size());
+  /**
+   * The new requests, as many as calls may be made now, the most urgent first. The rest of the
+   * shortage is planned again in a later tick.
+   */
+  private List<Request> planRequests(List<UnmetDemand> unmet, Duration now) {
+    int calls = Math.min(cloud.available(), MAX_REQUESTS - requests.size());
     if (unmet.isEmpty() || calls <= 0) {
       return List.of();
     }
-    String reason = mustWait(now);
-    if (!reason.equals(waitsFor)) {
-      waitsFor = reason;
+    String reason = reasonToWait(now);
+    if (!reason.equals(waitReason)) {
+      waitReason = reason;
       log.info("rent waits={}", reason.isEmpty() ? "no more" : reason);
     }
     if (!reason.isEmpty()) {
       return List.of();
     }
-    List<MachineOffering> coming = inventory.booting(now);
-    coming.addAll(coming());
-    Map<MachineOffering, Integer> lacking =
+    List<MachineOffering> pending = inventory.booting(now);
+    pending.addAll(pendingMachines());
+    Map<MachineOffering, Integer> shortage =
         RentPlanner.decide(
             unmet,
-            coming,
-            types.get(),
-            kind -> blockedUntil.getOrDefault(kind, Duration.ZERO).compareTo(now) > 0,
+            pending,
+            machineTypes.get(),
+            offering -> blockedUntil.getOrDefault(offering, Duration.ZERO).compareTo(now) > 0,
             operator);
-    List<Request> wanted = new ArrayList<>();
-    lacking.forEach(
-        (kind, count) -> {
-          for (int left = count; left > 0; left -= CloudProtocol.MAX_RENT) {
-            if (wanted.size() < calls) {
+    List<Request> newRequests = new ArrayList<>();
+    shortage.forEach(
+        (offering, count) -> {
+          for (int remaining = count; remaining > 0; remaining -= CloudProtocol.MAX_RENT) {
+            if (newRequests.size() < calls) {
               String id = "r-" + fleetVersion + "-" + ++counter;
-              wanted.add(new Request(id, kind, Math.min(left, CloudProtocol.MAX_RENT)));
+              newRequests.add(
+                  new Request(id, offering, Math.min(remaining, CloudProtocol.MAX_RENT)));
             }
           }
         });
-    return wanted;
+    return newRequests;
   }
 
-  /** Why nothing may be rented yet: whatever runs already must be known. Empty where it may. */
-  private String mustWait(Duration now) {
+  /** Why renting has to wait until all running machines are known; empty if it need not wait. */
+  private String reasonToWait(Duration now) {
     if (!inventory.complete()) {
       return "for the first machine list";
     }
-    if (now.minus(heldSince).compareTo(listAge) > 0) {
+    if (now.minus(roleSince).compareTo(maxListAge) > 0) {
       return "";
     }
-    // Without a journal, a holder of an earlier version may have rented what the list lacks yet.
-    boolean first = world.machines().isEmpty() && inventory.isEmpty();
-    return inherited || first ? "" : "for a list that shows what was rented before";
+    // If there is no journal, an autoscaler of an earlier release, which wrote none, may have
+    // rented machines that are not in the list yet.
+    boolean firstRental = clusterState.machines().isEmpty() && inventory.isEmpty();
+    return journalExists || firstRental ? "" : "for a list that shows what was rented before";
   }
 
-  private void write(List<Request> wanted) {
-    writing = true;
-    wanted.forEach(r -> requests.put(r.id, r));
-    wanted.forEach(r -> r.calling = true); // Not before it is written.
+  private void writeJournal(List<Request> newRequests) {
+    journalWriteInFlight = true;
+    newRequests.forEach(r -> requests.put(r.id, r));
+    newRequests.forEach(r -> r.callInFlight = true); // tick() must not send them unwritten.
     ObjectNode value = Cbor.map();
     ArrayNode list = value.putArray("requests");
     requests.values().forEach(r -> list.add(r.write()));
-    ClusterState.RentalJournal shown = world.rentals();
-    journalVersion = Math.max(journalVersion, shown == null ? 0 : shown.version());
-    dirty = false;
-    long holding = fleetVersion;
+    ClusterState.RentalJournal cached = clusterState.rentals();
+    journalVersion = Math.max(journalVersion, cached == null ? 0 : cached.version());
+    journalDirty = false;
+    long versionAtWrite = fleetVersion;
     store.commitUrgent(
         List.of(
             new Condition(ClusterState.FLEET_KEY, fleetVersion),
@@ -255,84 +270,86 @@
         List.of(new Write(ClusterState.RENTALS_KEY, value, 0)),
         Duration.ofSeconds(1),
         (result, revision) -> {
-          writing = false;
-          writtenAt = loop.now();
-          if (result != CommitResult.DONE || holding != fleetVersion) {
-            // Never sent; if it was written nevertheless, the next writing leaves it out.
-            log.info("rentals not written: {}", result);
-            wanted.forEach(r -> requests.remove(r.id, r));
-            dirty = true;
+          journalWriteInFlight = false;
+          journalWrittenAt = loop.now();
+          if (result != CommitResult.DONE || versionAtWrite != fleetVersion) {
+            // The requests were never sent. If they were written all the same, the next journal
+            // write removes them.
+            log.info("rental journal not written: {}", result);
+            newRequests.forEach(r -> requests.remove(r.id, r));
+            journalDirty = true;
             return;
           }
           journalVersion = revision;
-          inherited = true;
-          for (Request r : wanted) {
-            r.calling = false;
-            if (requests.get(r.id) == r && cloud.take()) {
-              ask(r);
+          journalExists = true;
+          for (Request r : newRequests) {
+            r.callInFlight = false;
+            if (requests.get(r.id) == r && cloud.tryAcquire()) {
+              send(r);
             }
           }
         });
   }
 
-  private void ask(Request r) {
-    r.calling = true;
-    Duration at = loop.now();
-    MachineOffering kind = r.kind;
+  private void send(Request r) {
+    r.callInFlight = true;
+    Duration sentAt = loop.now();
+    MachineOffering offering = r.offering;
     cloud.call(
         "POST",
         "/machines",
-        CloudProtocol.rent(r.id, kind.type(), kind.zone(), kind.spot(), r.count),
+        CloudProtocol.rent(r.id, offering.type(), offering.zone(), offering.spot(), r.count),
         (status, map) -> {
-          r.calling = false;
+          r.callInFlight = false;
           if (requests.get(r.id) != r) {
-            return; // The duty was lost meanwhile; its next holder asks by the same name.
+            return; // The role was lost or reset; the request is repeated under the same ID.
           }
           List<String> names = List.of();
           try {
             names = status == 200 ? CloudProtocol.readRented(map) : names;
           } catch (InvalidMessageException e) {
-            malformed.tell("the answer to rental " + r.id + " is unreadable", e.getMessage());
+            invalidMessages.tell(
+                "the response to rental " + r.id + " is unreadable", e.getMessage());
             status = 0;
           }
           log.info(
               "rent {} {} zone={} spot={} request={} status={} got={}",
               r.count,
-              kind.type(),
-              kind.zone(),
-              kind.spot(),
+              offering.type(),
+              offering.zone(),
+              offering.spot(),
               r.id,
               status,
               names);
-          answered(r, status, map, names, at);
+          onResponse(r, status, map, names, sentAt);
         });
   }
 
-  private void answered(
-      Request r, int status, ObjectNode map, List<String> names, Duration askedAt) {
+  private void onResponse(
+      Request r, int status, ObjectNode map, List<String> names, Duration sentAt) {
     Duration now = loop.now();
     if (status == 0 || status == 429) {
-      // It may have been carried out, or still be: only the same name can tell.
-      r.askAt = now.plus(status == 0 ? ASK_AGAIN : Duration.ofMillis(500));
+      // The rental may have been executed, or still be: only a retry with the same ID can tell.
+      r.nextTryAt = now.plus(status == 0 ? RETRY_DELAY : Duration.ofMillis(500));
       return;
     }
-    dirty = true;
+    journalDirty = true;
     if (status == 200) {
-      inventory.rented(names, r.kind, askedAt);
-      r.got = names.size();
+      inventory.addRented(names, r.offering, sentAt);
+      r.rentedCount = names.size();
       r.answeredAt = now;
-      r.named = true;
+      r.namesKnown = true;
     } else {
       requests.remove(r.id);
     }
     if (names.size() >= r.count) {
-      refusals.remove(r.kind);
+      refusals.remove(r.offering);
       return;
     }
     boolean full =
         status == 200 || (map != null && map.path("error").asText().equals("no capacity"));
-    int times = full ? Math.min(refusals.merge(r.kind, 1, Integer::sum), 4) : 1;
-    Duration pause = full ? operator.refusedPause().multipliedBy(times) : TROUBLE_PAUSE;
-    blockedUntil.put(r.kind, now.plus(pause));
+    int times = full ? Math.min(refusals.merge(r.offering, 1, Integer::sum), 4) : 1;
+    Duration pause = full ? operator.refusedPause().multipliedBy(times) : ERROR_PAUSE;
+    blockedUntil.put(r.offering, now.plus(pause));
   }
 }
--- a/src/main/java/io/tansystack/fleet/ScaleDownPolicy.java
+++ b/src/main/java/io/tansystack/fleet/ScaleDownPolicy.java
@@ -21,186 +21,209 @@
 import java.util.function.Function;
 
 /**
- * How long machines are kept that nothing runs on, and which are emptied because their replicas fit
- * elsewhere.
+ * Decides how long idle machines are kept, and which machines are drained because their replicas
+ * fit on other machines.
  */
 final class ScaleDownPolicy {
-  private static final Duration SETTLE = Duration.ofSeconds(15);
-  private static final double MAX_KEEP = 12;
+  /** No machine is drained for consolidation this soon after the role was taken or reset. */
+  private static final Duration STABILIZATION_DELAY = Duration.ofSeconds(15);
 
-  /** Where jobs came all the time and come no more, idle machines go so many times sooner. */
-  private static final double NOTHING_COMES = 4;
+  /** Idle machines are kept at most this many times longer than the operator's setting. */
+  private static final double MAX_KEEP_FACTOR = 12;
 
-  private static final Duration EXPECTED = Duration.ofSeconds(120);
-  private static final Duration FOREVER = Duration.ofDays(10_000);
+  /** After a steady arrival of jobs has stopped, idle machines are kept this many times shorter. */
+  private static final double ARRIVALS_STOPPED_DIVISOR = 4;
 
-  /** One machine in so many may be emptied at a time. */
-  private static final int AT_A_TIME = 50;
+  /** Job classes whose latest job is older than this don't prolong how long machines are kept. */
+  private static final Duration RECENT_ARRIVAL = Duration.ofSeconds(120);
 
-  /** One machine in so many may be overdue before that says something of the cloud. */
-  private static final int FEW_OVERDUE = 100;
+  /** Stands for no limit on the age of the latest job. */
+  private static final Duration ANY_ARRIVAL = Duration.ofDays(10_000);
 
-  /** The latest job of a class, and when it was first seen here. */
-  private record Arrival(JobSpec spec, long submittedMs, Duration at) {}
+  /** One machine in this many, at least one, may be drained by one consolidation run. */
+  private static final int MACHINES_PER_DRAIN = 50;
 
-  private final ClusterState world;
-  private final Function<String, MachineType> types;
+  /** If more than one machine in this many is overdue, the cloud may be slow as a whole. */
+  private static final int MACHINES_PER_OVERDUE = 100;
+
+  /** The latest job of a class, and when this controller first saw it. */
+  private record LatestJob(JobSpec spec, long submittedMs, Duration seenAt) {}
+
+  private final ClusterState clusterState;
+  private final Function<String, MachineType> machineTypes;
   private final PlatformSettings settings;
   private final OperatorSettings operator;
-  private final MachineReleaser returns;
-  private final Map<String, Arrival> arrivals = new HashMap<>();
-  private final JobArrivals starts = new JobArrivals();
+  private final MachineReleaser releaser;
+  private final Map<String, LatestJob> latestJobs = new HashMap<>();
+  private final JobArrivals jobArrivals = new JobArrivals();
   private final Map<String, Duration> idleSince = new HashMap<>();
-  private Duration heldSince = Duration.ZERO;
-  private Duration lastBusy = Duration.ZERO;
+  private Duration roleSince = Duration.ZERO;
+
+  /** The next consolidation is due the operator's delay after this moment. */
+  private Duration consolidationDelayedFrom = Duration.ZERO;
 
   ScaleDownPolicy(
-      ClusterState world,
-      Function<String, MachineType> types,
+      ClusterState clusterState,
+      Function<String, MachineType> machineTypes,
       PlatformSettings settings,
       OperatorSettings operator,
-      MachineReleaser returns) {
-    this.world = world;
-    this.types = types;
+      MachineReleaser releaser) {
+    this.clusterState = clusterState;
+    this.machineTypes = machineTypes;
     this.settings = settings;
     this.operator = operator;
-    this.returns = returns;
+    this.releaser = releaser;
   }
 
-  void startAnew(Duration now) {
-    heldSince = now;
-    starts.startAnew(now);
+  /** Restarts all idle times and the observation of arrivals. */
+  void reset(Duration now) {
+    roleSince = now;
+    jobArrivals.reset(now);
     idleSince.clear();
   }
 
-  /** Machines are kept warm for classes of which jobs still come, not for those of an hour ago. */
-  void noteArrivals(Duration now) {
-    starts.look(world.jobs(), now);
-    for (Job job : world.jobs().values()) {
+  /**
+   * Records the latest job of each class. Machines are kept idle for classes that still get jobs,
+   * not for classes whose last job came an hour ago.
+   */
+  void recordArrivals(Duration now) {
+    jobArrivals.update(clusterState.jobs(), now);
+    for (Job job : clusterState.jobs().values()) {
       JobSpec spec = job.record().spec();
-      long at = job.record().submittedMs();
-      Arrival known = arrivals.get(spec.jobClass());
-      if (known == null || at > known.submittedMs) {
-        arrivals.put(spec.jobClass(), new Arrival(spec, at, now));
+      long submittedMs = job.record().submittedMs();
+      LatestJob known = latestJobs.get(spec.jobClass());
+      if (known == null || submittedMs > known.submittedMs) {
+        latestJobs.put(spec.jobClass(), new LatestJob(spec, submittedMs, now));
       }
     }
   }
 
-  /** Has machines emptied that were idle for long, and returned those that are empty. */
-  void judge(Duration now) {
+  /** Drains machines that have been idle for long, and returns drained machines once empty. */
+  void evaluate(Duration now) {
     Map<String, List<MachineRecord>> idle = new HashMap<>();
-    for (MachineRecord record : world.machines().values()) {
+    for (MachineRecord record : clusterState.machines().values()) {
       String name = record.name();
-      if (!world.placedOn(name).isEmpty()) {
+      if (!clusterState.placedOn(name).isEmpty()) {
         if (idleSince.remove(name) != null) {
-          returns.keep(name);
+          releaser.cancelDrain(name);
         }
       } else if (record.drain()) {
-        returns.mark(name, "drained");
+        releaser.markForDeletion(name, "drained");
       } else {
         idleSince.putIfAbsent(name, now);
         idle.computeIfAbsent(record.type(), k -> new ArrayList<>()).add(record);
       }
     }
-    idleSince.keySet().retainAll(world.machines().keySet());
-    idle.forEach((type, machines) -> judgeIdle(types.apply(type), machines, now));
+    idleSince.keySet().retainAll(clusterState.machines().keySet());
+    idle.forEach((type, machines) -> drainIdle(machineTypes.apply(type), machines, now));
   }
 
   /**
-   * Of the idle machines of a type so many are kept for long as what comes while another one boots could
-   * take; those beyond that go sooner, the dear ones first, and of equal ones who was idle longest.
+   * Drains idle machines of one type. As many as the jobs that arrive during one boot time can use
+   * are kept longer. The others are drained sooner: the expensive (non-spot) ones first, and among
+   * equals the one that has been idle longest.
    */
-  private void judgeIdle(MachineType type, List<MachineRecord> machines, Duration now) {
-    double factor = keepFactor(type, EXPECTED, now);
-    double warm = type == null ? 0 : starts.machinesWhile(type, spec -> awaited(type, spec), now);
-    if (starts.haveEnded(now)) {
-      factor = 1.0 / NOTHING_COMES;
+  private void drainIdle(MachineType type, List<MachineRecord> machines, Duration now) {
+    double factor = keepFactor(type, RECENT_ARRIVAL, now);
+    double needed =
+        type == null
+            ? 0
+            : jobArrivals.machinesNeededPerBoot(
+                type, spec -> mustStartBeforeBoot(type, spec), now);
+    if (jobArrivals.haveStopped(now)) {
+      factor = 1.0 / ARRIVALS_STOPPED_DIVISOR;
     }
     machines.sort(
         Comparator.comparing((MachineRecord m) -> !m.spot())
             .thenComparing(m -> idleSince.get(m.name()), Comparator.reverseOrder()));
     for (int i = 0; i < machines.size(); i++) {
-      Duration keep =
+      Duration keepFor =
           Duration.ofMillis(
-              (long) (operator.idleReturn().toMillis() * (i < warm ? factor : Math.min(1, factor))));
-      if (now.minus(idleSince.get(machines.get(i).name())).compareTo(keep) > 0) {
-        returns.drain(machines.get(i), "idle");
+              (long)
+                  (operator.idleReturn().toMillis() * (i < needed ? factor : Math.min(1, factor))));
+      if (now.minus(idleSince.get(machines.get(i).name())).compareTo(keepFor) > 0) {
+        releaser.drain(machines.get(i), "idle");
       }
     }
   }
 
   /**
-   * How many times longer an idle machine is kept where starts are expected sooner than a new machine
-   * could be up: up to twelve times.
+   * How many times longer an idle machine is kept than the operator's setting, because the
+   * objectives ask for starts sooner than a new machine can boot: up to {@link #MAX_KEEP_FACTOR}.
+   *
+   * @param maxAge job classes whose latest job is older than this don't count
    */
-  private double keepFactor(MachineType type, Duration lately, Duration now) {
+  private double keepFactor(MachineType type, Duration maxAge, Duration now) {
     if (type == null) {
       return 1;
     }
     double factor = 1;
-    for (Objective aim : settings.objectives()) {
-      Arrival latest = aim.jobClass() == null ? null : arrivals.get(aim.jobClass());
-      if (!aim.kind().equals("wait")
+    for (Objective objective : settings.objectives()) {
+      LatestJob latest = objective.jobClass() == null ? null : latestJobs.get(objective.jobClass());
+      if (!objective.kind().equals("wait")
           || latest == null
-          || now.minus(latest.at).compareTo(lately) > 0) {
+          || now.minus(latest.seenAt).compareTo(maxAge) > 0) {
         continue;
       }
-      if (uses(type, latest.spec)) {
-        double within = Math.max(0.1, aim.within().toNanos() / 1e9);
-        factor = Math.max(factor, Math.min(MAX_KEEP, type.bootS() / within));
+      if (suits(type, latest.spec)) {
+        double withinS = Math.max(0.1, objective.within().toNanos() / 1e9);
+        factor = Math.max(factor, Math.min(MAX_KEEP_FACTOR, type.bootS() / withinS));
       }
     }
     return factor;
   }
 
-  /** Whether jobs like this one are to start sooner than a machine of the type boots. */
-  private boolean awaited(MachineType type, JobSpec spec) {
-    return uses(type, spec)
+  /** Whether an objective asks for jobs like this one to start sooner than the type boots. */
+  private boolean mustStartBeforeBoot(MachineType type, JobSpec spec) {
+    return suits(type, spec)
         && settings.objectives().stream()
             .anyMatch(
-                aim ->
-                    aim.kind().equals("wait")
-                        && spec.jobClass().equals(aim.jobClass())
-                        && aim.within().toMillis() < type.bootS() * 1000);
+                objective ->
+                    objective.kind().equals("wait")
+                        && spec.jobClass().equals(objective.jobClass())
+                        && objective.within().toMillis() < type.bootS() * 1000);
   }
 
-  private static boolean uses(MachineType type, JobSpec spec) {
+  /** Whether machines of the type may run the job; GPU machines only suit jobs that need GPUs. */
+  private static boolean suits(MachineType type, JobSpec spec) {
     return spec.allowsType(type.name())
         && type.fits(spec)
         && (type.gpus() <= 0 || spec.gpus() > 0);
   }
 
   /**
-   * Empties machines whose replicas fit elsewhere, a few at a time. Not while work lacks room, and not
-   * where starts are due sooner than a machine boots by far: there every machine is wanted warm.
+   * Drains machines whose replicas fit elsewhere, a few at a time. None is drained while there is
+   * unmet demand, nor if jobs must start much sooner than a machine of the type boots: all machines
+   * of such a type are kept as spare capacity.
    *
-   * @param overdue so many machines are waited for in vain. What is rented may not come for long:
-   *     while they are more than a few, nothing that runs is given back
+   * @param overdue number of booting machines that are overdue. While it is more than a small part
+   *     of the fleet, rented machines may take long to arrive, so no running machine is drained
    */
   void consolidate(Duration now, Snapshot snapshot, Plan plan, int overdue) {
-    int machines = world.machines().size();
+    int machines = clusterState.machines().size();
     boolean busy =
-        overdue > machines / FEW_OVERDUE
+        overdue > machines / MACHINES_PER_OVERDUE
             || plan.unmet().stream().anyMatch(u -> u.spec().priority() != Priority.LOW);
-    if (busy || now.minus(heldSince).compareTo(SETTLE) < 0) {
-      lastBusy = now;
+    if (busy || now.minus(roleSince).compareTo(STABILIZATION_DELAY) < 0) {
+      consolidationDelayedFrom = now;
       return;
     }
-    if (now.minus(lastBusy).compareTo(operator.consolidateAfter()) < 0) {
+    if (now.minus(consolidationDelayedFrom).compareTo(operator.consolidateAfter()) < 0) {
       return;
     }
-    lastBusy = now; // Whatever comes of it, the next look is a while later: it goes through everything.
+    // The search examines all machines, so the next one is delayed whatever this one finds.
+    consolidationDelayedFrom = now;
     List<String> names =
         Consolidation.selectMachinesToDrain(
             snapshot,
-            // Machines that are wanted warm when jobs come are not worth moving replicas about.
-            machine -> keepFactor(machine.type(), FOREVER, now) < MAX_KEEP,
+            // Machines that are kept idle for arriving jobs anyway are not worth moving replicas.
+            machine -> keepFactor(machine.type(), ANY_ARRIVAL, now) < MAX_KEEP_FACTOR,
             operator.spareReplicas(),
-            Math.max(1, machines / AT_A_TIME));
+            Math.max(1, machines / MACHINES_PER_DRAIN));
     for (String name : names) {
-      MachineRecord record = world.machine(name);
+      MachineRecord record = clusterState.machine(name);
       if (record != null && !record.drain()) {
-        returns.drain(record, "its replicas fit elsewhere");
+        releaser.drain(record, "its replicas fit elsewhere");
       }
     }
   }
--- a/src/main/java/io/tansystack/jobs/PlanWriter.java
+++ b/src/main/java/io/tansystack/jobs/PlanWriter.java
@@ -171,7 +171,7 @@
         later.add(ready.remove(0));
         continue;
       }
-      if (store.spare() < minBatchSize(ready)) {
+      if (store.availableWrites() < minBatchSize(ready)) {
         retryDelay = RETRY_DELAY;
         scheduleRetry();
         break;
@@ -220,7 +220,7 @@
     if (!hasTeamLimit(ready.get(0))) {
       return 1;
     }
-    return Math.max(2, Math.min(Math.min(TEAM_BATCH_WRITES, store.halfSpare()), ready.size() + 1));
+    return Math.max(2, Math.min(Math.min(TEAM_BATCH_WRITES, store.halfOfMaxAvailableWrites()), ready.size() + 1));
   }
 
   /** Small rounds of a running array wait longer: capacity becomes free for it task by task. */
@@ -271,7 +271,7 @@
     private final Set<String> keys = new HashSet<>();
     private final List<Condition> conditions = new ArrayList<>();
     private final Set<String> teams = new HashSet<>();
-    private final int availableWrites = store.spare();
+    private final int availableWrites = store.availableWrites();
     private int bytes;
 
     /**
--- a/src/main/java/io/tansystack/jobs/SubmissionWriter.java
+++ b/src/main/java/io/tansystack/jobs/SubmissionWriter.java
@@ -99,7 +99,7 @@
   }
 
   private void flush() {
-    while (!pending.isEmpty() && budget.take(1, true, loop.now())) {
+    while (!pending.isEmpty() && budget.tryAcquire(1, true, loop.now())) {
       List<PendingSubmission> batch = new ArrayList<>();
       int size = 0;
       while (!pending.isEmpty()
--- a/src/main/java/io/tansystack/peers/PeerLink.java
+++ b/src/main/java/io/tansystack/peers/PeerLink.java
@@ -28,45 +28,45 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The link between controllers: MessagePack over HTTP, carrying machine views and whether the sender
- * may act. All of it are hints; no rule rests on any message to arrive.
+ * The link between controllers: MessagePack over HTTP. Messages carry machine views and whether the
+ * sender is able to schedule. All of them are hints; no rule relies on any message arriving.
  */
 public final class PeerLink {
-  private static final Duration BEAT = Duration.ofMillis(500);
+  private static final Duration HEARTBEAT = Duration.ofMillis(500);
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
-  /** Messages grow with the square of the controllers, so each waits longer where there are more. */
-  private static final Duration DELAY = Duration.ofMillis(10);
+  /** Multiplied by the square of the number of peers, as the number of messages grows with it. */
+  private static final Duration BASE_DELAY = Duration.ofMillis(10);
 
-  /** Longer than one call lost and the beat that would follow from the other side. */
-  private static final Duration SILENT_FOR = Duration.ofMillis(3500);
+  /** Longer than one lost call plus the heartbeat that would then follow from the other side. */
+  private static final Duration UNRESPONSIVE_AFTER = Duration.ofMillis(3500);
 
-  private static final Duration REFUSED_FOR = Duration.ofMillis(900);
+  private static final Duration DOWN_AFTER = Duration.ofMillis(900);
   private static final int MAX_BATCH = 100;
-  private static final int MOST_SILENCES = 3;
+  private static final int MAX_MISSED = 3;
 
-  /** A body may hold this much: a batch of views of full machines. */
+  /** Maximum size of a message in bytes; a batch of views of full machines fits into it. */
   public static final int MAX_BODY = 1 << 20;
 
-  private final ThrottledLogger malformed =
+  private final ThrottledLogger invalidMessages =
       new ThrottledLogger(LoggerFactory.getLogger(PeerLink.class));
   private final ObjectMapper msgpack = new ObjectMapper(new MessagePackFactory());
-  private final HttpClient caller;
+  private final HttpClient httpClient;
   private final EventLoop loop;
   private final String label;
-  private final BooleanSupplier valid;
-  private final BooleanSupplier deaf;
-  private final Consumer<MachineView> received;
-  private final Supplier<List<MachineView>> told;
-  private final String boot;
+  private final BooleanSupplier canSchedule;
+  private final BooleanSupplier isolated;
+  private final Consumer<MachineView> viewReceiver;
+  private final Supplier<List<MachineView>> allViews;
+  private final String incarnation;
   private final Duration delay;
-  private final Supplier<ObjectNode> fleetNews;
-  private final Consumer<ObjectNode> fleetNewsReceived;
-  private final Supplier<Set<String>> informed;
-  private ObjectNode news;
+  private final Supplier<ObjectNode> bootingUpdates;
+  private final Consumer<ObjectNode> bootingUpdateReceiver;
+  private final Supplier<Set<String>> viewSubscribers;
+  private ObjectNode bootingUpdate;
   private final Map<String, Link> links = new LinkedHashMap<>();
 
-  /** A view on its way; it is encoded once for all peers, and not at all if a newer one replaces it. */
+  /** A view to be sent: encoded once for all peers, and not at all if a newer one replaces it. */
   private final class Outgoing {
     final MachineView view;
     private byte[] encoded;
@@ -86,26 +86,21 @@
   private static final class Link {
     final Peer peer;
     final Map<String, Outgoing> pending = new LinkedHashMap<>();
-    String boot = "";
+    String incarnation = "";
     boolean inFlight;
-    boolean scheduled;
-    boolean said = true;
+    boolean sendScheduled;
+    boolean reportsCanSchedule = true;
     Duration refusedSince;
-    Duration heardAt;
+    Duration lastHeardAt;
     Duration sentAt = Duration.ZERO;
+    boolean subscribed; // Whether the peer gets views, which only planners need.
+    boolean sentCanSchedule;
+    boolean isolated; // Whether the peer says that it gets no reports from its workers.
 
-    /** Whether views go to it: only those who plan need them. */
-    boolean informed;
+    /** Successive calls without a response. The peer is called seldom then; it calls once back. */
+    int missedResponses;
 
-    boolean toldValid;
-
-    /** It says that it does not hear its workers. */
-    boolean deaf;
-
-    /** Calls in a row that found no answer; it is tried seldom then, and says itself when it is back. */
-    int silences;
-
-    Duration silentSince;
+    Duration unresponsiveSince;
 
     Link(Peer peer) {
       this.peer = peer;
@@ -113,75 +108,75 @@
   }
 
   public PeerLink(
-      HttpClient caller,
+      HttpClient httpClient,
       EventLoop loop,
       String label,
-      String boot,
+      String incarnation,
       List<Peer> peers,
-      BooleanSupplier valid,
-      BooleanSupplier deaf,
-      Consumer<MachineView> received,
-      Supplier<List<MachineView>> told,
-      Supplier<ObjectNode> fleetNews,
-      Consumer<ObjectNode> fleetNewsReceived,
-      Supplier<Set<String>> informed) {
-    this.caller = caller;
+      BooleanSupplier canSchedule,
+      BooleanSupplier isolated,
+      Consumer<MachineView> viewReceiver,
+      Supplier<List<MachineView>> allViews,
+      Supplier<ObjectNode> bootingUpdates,
+      Consumer<ObjectNode> bootingUpdateReceiver,
+      Supplier<Set<String>> viewSubscribers) {
+    this.httpClient = httpClient;
     this.loop = loop;
     this.label = label;
-    this.boot = boot;
-    this.told = told;
-    this.delay = DELAY.multipliedBy((long) Math.max(1, peers.size() * peers.size()));
-    this.valid = valid;
-    this.deaf = deaf;
-    this.received = received;
-    this.fleetNews = fleetNews;
-    this.fleetNewsReceived = fleetNewsReceived;
-    this.informed = informed;
+    this.incarnation = incarnation;
+    this.allViews = allViews;
+    this.delay = BASE_DELAY.multipliedBy((long) Math.max(1, peers.size() * peers.size()));
+    this.canSchedule = canSchedule;
+    this.isolated = isolated;
+    this.viewReceiver = viewReceiver;
+    this.bootingUpdates = bootingUpdates;
+    this.bootingUpdateReceiver = bootingUpdateReceiver;
+    this.viewSubscribers = viewSubscribers;
     peers.forEach(peer -> links.put(peer.label(), new Link(peer)));
   }
 
-  /** The first word goes out at once: where all start anew, each waits to hear who is back. */
+  /** Sends heartbeats, the first at once: in a full restart, controllers wait for each other's. */
   public void start() {
-    Set<String> names = informed.get();
-    news = fleetNews.get();
+    Set<String> subscribers = viewSubscribers.get();
+    bootingUpdate = bootingUpdates.get();
     for (Link link : links.values()) {
-      inform(link, names.contains(link.peer.label()));
+      setSubscribed(link, subscribers.contains(link.peer.label()));
       send(link);
     }
-    loop.after(BEAT, this::start);
+    loop.after(HEARTBEAT, this::start);
   }
 
-  private void inform(Link link, boolean now) {
-    if (now && !link.informed) {
-      tellAll(link);
-    } else if (!now) {
+  private void setSubscribed(Link link, boolean subscribed) {
+    if (subscribed && !link.subscribed) {
+      queueAllViews(link);
+    } else if (!subscribed) {
       link.pending.clear();
     }
-    link.informed = now;
+    link.subscribed = subscribed;
   }
 
-  private void tellAll(Link link) {
-    told.get().forEach(view -> link.pending.putIfAbsent(view.report().machine(), new Outgoing(view)));
+  private void queueAllViews(Link link) {
+    allViews.get().forEach(v -> link.pending.putIfAbsent(v.report().machine(), new Outgoing(v)));
   }
 
-  /** Passes a view on; views of the same machine that wait are replaced. */
+  /** Queues a view for all subscribers; it replaces queued views of the same machine. */
   public void publish(MachineView view) {
     Outgoing outgoing = new Outgoing(view);
     for (Link link : links.values()) {
-      if (link.informed) {
+      if (link.subscribed) {
         link.pending.put(view.report().machine(), outgoing);
-        sendSoon(link);
+        scheduleSend(link);
       }
     }
   }
 
-  private void sendSoon(Link link) {
-    if (!link.scheduled) {
-      link.scheduled = true;
+  private void scheduleSend(Link link) {
+    if (!link.sendScheduled) {
+      link.sendScheduled = true;
       loop.after(
           delay,
           () -> {
-            link.scheduled = false;
+            link.sendScheduled = false;
             send(link);
           });
     }
@@ -189,17 +184,19 @@
 
   private void send(Link link) {
     Duration now = loop.now();
-    if (link.inFlight || now.compareTo(link.sentAt.plus(pause(link))) < 0) {
+    if (link.inFlight || now.compareTo(link.sentAt.plus(retryPause(link))) < 0) {
       return;
     }
-    boolean mayAct = valid.getAsBoolean();
-    ObjectNode fleet = link.informed ? news : null;
-    if (link.pending.isEmpty() && mayAct == link.toldValid && !beatDue(link, fleet, now)) {
+    boolean able = canSchedule.getAsBoolean();
+    ObjectNode update = link.subscribed ? bootingUpdate : null;
+    if (link.pending.isEmpty()
+        && able == link.sentCanSchedule
+        && !heartbeatDue(link, update, now)) {
       return;
     }
-    ObjectNode message = about(mayAct).put("from", label);
-    if (fleet != null) {
-      message.set("fleet", fleet);
+    ObjectNode message = status(able).put("from", label);
+    if (update != null) {
+      message.set("fleet", update);
     }
     ArrayNode views = message.putArray("views");
     Map<String, Outgoing> batch = new HashMap<>();
@@ -214,9 +211,9 @@
     }
     byte[] body = encode(message);
     link.inFlight = true;
-    link.toldValid = mayAct;
+    link.sentCanSchedule = able;
     link.sentAt = now;
-    caller.call(
+    httpClient.call(
         link.peer.address(),
         "POST",
         "/views",
@@ -227,12 +224,13 @@
           public void answer(int status, byte[] answer) {
             link.inFlight = false;
             try {
-              heard(link, FieldReader.map(msgpack.readTree(answer), "answer"));
+              applyStatus(link, FieldReader.map(msgpack.readTree(answer), "answer"));
             } catch (IOException | InvalidMessageException e) {
-              malformed.tell("peer link: unreadable answer of " + link.peer.label(), e.getMessage());
+              invalidMessages.tell(
+                  "peer link: unreadable response of " + link.peer.label(), e.getMessage());
             }
             if (!link.pending.isEmpty()) {
-              sendSoon(link);
+              scheduleSend(link);
             }
           }
 
@@ -240,10 +238,10 @@
           public void silence(boolean refused) {
             link.inFlight = false;
             batch.forEach(link.pending::putIfAbsent);
-            if (link.silences++ == 0) {
-              link.silentSince = link.sentAt;
+            if (link.missedResponses++ == 0) {
+              link.unresponsiveSince = link.sentAt;
             }
-            link.silences = Math.min(link.silences, MOST_SILENCES);
+            link.missedResponses = Math.min(link.missedResponses, MAX_MISSED);
             if (!refused) {
               link.refusedSince = null;
             } else if (link.refusedSince == null) {
@@ -254,42 +252,45 @@
   }
 
   /**
-   * A peer that is silent, without an answer and without an error, holds every call up until it times
-   * out. One call at a time is under way to it, and then none for a while.
+   * Pause before the next call. An unresponsive peer, with neither response nor error, blocks each
+   * call until the timeout, so it gets one call at a time and then none for a while.
    */
-  private static Duration pause(Link link) {
-    return link.refusedSince != null || link.silences == 0
+  private static Duration retryPause(Link link) {
+    return link.refusedSince != null || link.missedResponses == 0
         ? Duration.ZERO
-        : TIMEOUT.plus(BEAT.multipliedBy(1L << link.silences));
+        : TIMEOUT.plus(HEARTBEAT.multipliedBy(1L << link.missedResponses));
   }
 
-  /** With nothing to say, one of the two says so from time to time; the answer tells as much. */
-  private static boolean beatDue(Link link, ObjectNode fleet, Duration now) {
+  /** Of two idle peers only one sends heartbeats, because the response carries the same status. */
+  private static boolean heartbeatDue(Link link, ObjectNode update, Duration now) {
     Duration quietSince =
-        fleet == null && link.heardAt != null && link.heardAt.compareTo(link.sentAt) > 0
-            ? link.heardAt
+        update == null && link.lastHeardAt != null && link.lastHeardAt.compareTo(link.sentAt) > 0
+            ? link.lastHeardAt
             : link.sentAt;
-    return now.minus(quietSince).compareTo(BEAT.minusMillis(50)) >= 0;
+    return now.minus(quietSince).compareTo(HEARTBEAT.minusMillis(50)) >= 0;
   }
 
-  private ObjectNode about(boolean mayAct) {
-    return Cbor.map().put("boot", boot).put("valid", mayAct).put("deaf", deaf.getAsBoolean());
+  private ObjectNode status(boolean able) {
+    return Cbor.map()
+        .put("boot", incarnation)
+        .put("valid", able)
+        .put("deaf", isolated.getAsBoolean());
   }
 
-  /** Takes in what every message and every answer says of its sender. */
-  private void heard(Link link, ObjectNode about) throws InvalidMessageException {
-    link.said = FieldReader.flag(about, "valid");
-    link.deaf = FieldReader.flagOr(about, "deaf", false);
-    String itsBoot = FieldReader.text(about, "boot");
-    link.heardAt = loop.now();
+  /** Applies what each message and each response says about its sender. */
+  private void applyStatus(Link link, ObjectNode status) throws InvalidMessageException {
+    link.reportsCanSchedule = FieldReader.flag(status, "valid");
+    link.isolated = FieldReader.flagOr(status, "deaf", false);
+    String peerIncarnation = FieldReader.text(status, "boot");
+    link.lastHeardAt = loop.now();
     link.refusedSince = null;
-    link.silences = 0;
-    if (!link.boot.equals(itsBoot)) {
-      // It has started anew and knows nothing of the machines here, and most have no news.
-      link.boot = itsBoot;
-      if (link.informed) {
-        tellAll(link);
-        sendSoon(link);
+    link.missedResponses = 0;
+    if (!link.incarnation.equals(peerIncarnation)) {
+      // The peer restarted without this controller's views, and most of these get no update soon.
+      link.incarnation = peerIncarnation;
+      if (link.subscribed) {
+        queueAllViews(link);
+        scheduleSend(link);
       }
     }
   }
@@ -298,98 +299,98 @@
     try {
       return msgpack.writeValueAsBytes(tree);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree always encodes", e);
+      throw new IllegalStateException("encoding a message tree failed", e);
     }
   }
 
-  /** Serves the peer address. */
+  /** Handles a request to the peer address. */
   public void handle(String method, String path, byte[] body, HttpServer.Reply reply) {
     try {
       JsonNode node = msgpack.readTree(body);
       ObjectNode message = FieldReader.map(node, "body");
       Link link = links.get(FieldReader.text(message, "from"));
       if (link != null) {
-        heard(link, message);
+        applyStatus(link, message);
       }
       if (FieldReader.has(message, "fleet")) {
-        fleetNewsReceived.accept(FieldReader.map(message, "fleet"));
+        bootingUpdateReceiver.accept(FieldReader.map(message, "fleet"));
       }
       for (JsonNode view : FieldReader.list(message, "views")) {
-        received.accept(
+        viewReceiver.accept(
             MachineView.read(FieldReader.map(msgpack.readTree(view.binaryValue()), "views")));
       }
-      reply.send(200, encode(about(valid.getAsBoolean())));
+      reply.send(200, encode(status(canSchedule.getAsBoolean())));
     } catch (IOException | InvalidMessageException | RuntimeException e) {
-      malformed.tell("peer link: unreadable message", e.getMessage());
+      invalidMessages.tell("peer link: unreadable message", e.getMessage());
       reply.send(400, new byte[0]);
     }
   }
 
   /**
-   * Whether the peer looks as if its process had ended (its address has refused connections for a
-   * while) or says itself that it may not act. A hint: claims made on it are safe if it is wrong.
+   * Whether the peer seems to have ended (its address has refused connections for a while), or says
+   * that it can't schedule. A hint: claims based on it are safe even if it is wrong.
    */
   public boolean looksDown(String peer) {
     Link link = links.get(peer);
     return link != null
         && ((link.refusedSince != null
-                && loop.now().minus(link.refusedSince).compareTo(REFUSED_FOR) > 0)
-            || (!link.said && heardWithin(link, Duration.ofSeconds(2))));
+                && loop.now().minus(link.refusedSince).compareTo(DOWN_AFTER) > 0)
+            || (!link.reportsCanSchedule && heardWithin(link, Duration.ofSeconds(2))));
   }
 
-  /** Whether the peer's address refuses connections: its process has ended, or there is a filter. */
-  public boolean refuses(String peer) {
+  /** Whether the peer's address refuses connections: its process ended, or a filter blocks it. */
+  public boolean refusesConnections(String peer) {
     Link link = links.get(peer);
     return link != null && link.refusedSince != null;
   }
 
-  /** Whether the peer was heard of since this process has started. */
-  public boolean heard(String peer) {
+  /** Whether a message or response of the peer has arrived since this process started. */
+  public boolean heardFrom(String peer) {
     Link link = links.get(peer);
-    return link != null && link.heardAt != null;
+    return link != null && link.lastHeardAt != null;
   }
 
-  /** Whether the peer has neither answered nor refused for a while: it stands still, or is cut off. */
-  public boolean silent(String peer) {
+  /** Whether the peer has neither responded nor refused for a while: it is paused or cut off. */
+  public boolean unresponsive(String peer) {
     Link link = links.get(peer);
     return link != null
-        && link.silences > 0
+        && link.missedResponses > 0
         && link.refusedSince == null
-        && loop.now().minus(link.silentSince).compareTo(SILENT_FOR) > 0;
+        && loop.now().minus(link.unresponsiveSince).compareTo(UNRESPONSIVE_AFTER) > 0;
   }
 
   /**
-   * Whether the peer is silent, looks down, or says that it does not hear its workers. Workers need not
-   * be sent to it, while its slots are left to it until its record ends: were zones cut off from each
-   * other, each would take the other's.
+   * Whether the peer is unresponsive, looks down, or is isolated from its workers. Workers are not
+   * redirected to it then. Its slots stay with it until its record expires: if zones were cut off
+   * from each other, each would take the other's slots.
    */
   public boolean unfitForWorkers(String peer) {
     Link link = links.get(peer);
-    return link != null && (looksDown(peer) || link.deaf || silent(peer));
+    return link != null && (looksDown(peer) || link.isolated || unresponsive(peer));
   }
 
   private boolean heardWithin(Link link, Duration time) {
-    return link.heardAt != null && loop.now().minus(link.heardAt).compareTo(time) < 0;
+    return link.lastHeardAt != null && loop.now().minus(link.lastHeardAt).compareTo(time) < 0;
   }
 
-  /** This process stood still itself: what it heard of nobody meanwhile says nothing of them. */
-  public void listenAnew() {
+  /** For use after a pause of this process: missing messages of that time don't show failures. */
+  public void restartSilenceTimers() {
     for (Link link : links.values()) {
       link.refusedSince = null;
-      link.silences = 0;
+      link.missedResponses = 0;
     }
   }
 
-  /** Whether some peer was heard of lately, or there is none. */
-  public boolean somePeerHeard() {
+  /** Whether any peer was heard from recently, or there are no peers. */
+  public boolean heardFromAnyPeer() {
     return links.isEmpty()
         || links.values().stream().anyMatch(link -> heardWithin(link, Duration.ofSeconds(3)));
   }
 
-  /** Whether some peer that was heard of lately says that it may act. */
-  public boolean somePeerValid() {
+  /** Whether any peer that was heard from recently reports that it can schedule. */
+  public boolean anyPeerCanSchedule() {
     for (Link link : links.values()) {
-      if (link.said && heardWithin(link, Duration.ofSeconds(2))) {
+      if (link.reportsCanSchedule && heardWithin(link, Duration.ofSeconds(2))) {
         return true;
       }
     }
--- a/src/main/java/io/tansystack/recovery/CommandThrottle.java
+++ b/src/main/java/io/tansystack/recovery/CommandThrottle.java
@@ -98,7 +98,7 @@
    */
   public boolean admit(String machine, int urgency, int commandCount) {
     boolean unblocked = !active() || machine.equals(retriedMachine) || noneWaiting(urgency);
-    boolean admitted = unblocked && (!active() || budget.take(commandCount, true, loop.now()));
+    boolean admitted = unblocked && (!active() || budget.tryAcquire(commandCount, true, loop.now()));
     if (admitted || urgency == Reconciliation.STOP_URGENCY) {
       waitingMachines.forEach(machines -> machines.remove(machine));
       return true;
--- a/src/main/java/io/tansystack/store/RateBudget.java
+++ b/src/main/java/io/tansystack/store/RateBudget.java
@@ -3,26 +3,26 @@
 import java.time.Duration;
 
 /**
- * A part of another service's limit, as a token bucket: this controller's of the state service's
- * writes, or the cloud's calls. What is urgent (submissions, cancellations, claims) may empty it;
- * the rest leaves a reserve for that.
+ * A token bucket for a share of another service's rate limit: this controller's share of the state
+ * service's writes, or calls of the cloud's API. Urgent requests (submissions, cancellations,
+ * claims) may empty it; ordinary ones leave a reserve for these.
  */
 public final class RateBudget {
   private double perSecond;
   private double burst;
   private double reserve;
-  private double level;
-  private Duration at;
+  private double tokens;
+  private Duration refilledAt;
   private Duration blockedUntil = Duration.ZERO;
 
   public RateBudget(double perSecond, double burst, Duration now) {
-    this.at = now;
-    rate(perSecond, burst, now);
-    this.level = burst;
+    this.refilledAt = now;
+    setRate(perSecond, burst, now);
+    this.tokens = burst;
   }
 
-  /** From now on the part is this one: who plans writes more than others. */
-  public void rate(double perSecond, double burst, Duration now) {
+  /** Changes the share: controllers that schedule write more than others. */
+  public void setRate(double perSecond, double burst, Duration now) {
     refill(now);
     this.perSecond = perSecond;
     this.burst = burst;
@@ -30,48 +30,51 @@
   }
 
   private void refill(Duration now) {
-    double seconds = now.minus(at).toNanos() / 1e9;
+    double seconds = now.minus(refilledAt).toNanos() / 1e9;
     if (seconds > 0) {
-      level = Math.min(burst, level + seconds * perSecond);
-      at = now;
+      tokens = Math.min(burst, tokens + seconds * perSecond);
+      refilledAt = now;
     }
   }
 
-  /** Takes tokens for so many writes or calls, or nothing at all. */
-  public boolean take(int count, boolean urgent, Duration now) {
+  /**
+   * Takes {@code count} tokens, or none and returns false. It needs only one token, beyond the
+   * reserve if not urgent, so the balance may become negative.
+   */
+  public boolean tryAcquire(int count, boolean urgent, Duration now) {
     refill(now);
-    if (now.compareTo(blockedUntil) < 0 || level < (urgent ? 1 : 1 + reserve)) {
+    if (now.compareTo(blockedUntil) < 0 || tokens < (urgent ? 1 : 1 + reserve)) {
       return false;
     }
-    level -= count;
+    tokens -= count;
     return true;
   }
 
-  /** How many could be taken now by who is not urgent, with nothing owed afterwards. */
-  public int spare(Duration now) {
+  /** Number of tokens that ordinary requests may take now without a negative balance. */
+  public int availableForOrdinary(Duration now) {
     return Math.max(0, (int) (available(now) - reserve));
   }
 
-  /** What {@link #spare} is at most. */
-  public int mostSpare() {
+  /** The maximum of {@link #availableForOrdinary}. */
+  public int maxAvailableForOrdinary() {
     return (int) (burst - reserve);
   }
 
-  /** How many could be taken now by who is urgent. */
+  /** Number of tokens that urgent requests may take now without a negative balance. */
   public int available(Duration now) {
     refill(now);
-    return now.compareTo(blockedUntil) < 0 ? 0 : Math.max(0, (int) level);
+    return now.compareTo(blockedUntil) < 0 ? 0 : Math.max(0, (int) tokens);
   }
 
-  /** Whether next to nothing was taken lately. */
-  public boolean full(Duration now) {
+  /** Whether hardly any tokens were taken recently. */
+  public boolean nearlyFull(Duration now) {
     return available(now) >= (int) (burst * 0.9);
   }
 
-  /** The service said 429: others are using its limit, so this controller pauses. */
-  public void refused(Duration now, Duration pause) {
+  /** Pauses after a response 429, because others are using the service's limit too. */
+  public void onThrottled(Duration now, Duration pause) {
     refill(now);
-    level = Math.min(level, 0);
+    tokens = Math.min(tokens, 0);
     blockedUntil = now.plus(pause);
   }
 }
--- a/src/main/java/io/tansystack/store/StoreClient.java
+++ b/src/main/java/io/tansystack/store/StoreClient.java
@@ -19,62 +19,64 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The state service's client. Every callback runs on the loop. */
+/** Client of the state service. Every callback runs on the event loop. */
 public final class StoreClient {
   private static final Logger log = LoggerFactory.getLogger(StoreClient.class);
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
   private static final int MAX_QUEUED = 64;
 
-  /** What is known of a transaction. */
+  /** What is known about the outcome of a transaction. */
   public enum CommitResult {
-    /** Applied, at the revision given with it. */
+    /** Applied at the given revision. */
     DONE,
     /** A condition did not hold; nothing was changed. */
     CONFLICT,
-    /** Not executed: refused, or an outage. */
+    /** Not executed: it was refused, or the service was unavailable. */
     REFUSED,
-    /** Not executed, and never will be: the service can't take it as it is. */
+    /** Not executed, and never will be: the service rejects it as malformed. */
     MALFORMED,
-    /** Not executed: over the service's limits just now. */
+    /** Not executed: it exceeded the service's rate limit. */
     BUSY,
-    /** The lease of a write has ended. */
+    /** Not executed: the lease of a write has expired. */
     NO_LEASE,
-    /** No answer: it may have been applied, or may still be. */
+    /** No response: it may have been applied, or may still be. */
     UNKNOWN
   }
 
-  /** Receives the outcome of a transaction. */
+  /** Receives the outcome of a transaction; the revision is 0 unless it was applied. */
   public interface CommitCallback {
     void done(CommitResult result, long revision);
   }
 
-  /** Receives a strong read: {@code change} is null where the key does not exist. */
+  /** Receives the outcome of a strongly consistent read. */
   public interface ReadCallback {
+    /** The key was read; {@code change} is null if it does not exist. */
     void value(Change change);
 
+    /** Nothing is known about the key. */
     void failed();
   }
 
-  private record Queued(
-      List<Condition> conditions, List<Write> writes, Duration until, CommitCallback then) {}
+  private record QueuedTransaction(
+      List<Condition> conditions, List<Write> writes, Duration deadline, CommitCallback callback) {}
 
-  private final ThrottledLogger malformed = new ThrottledLogger(log);
-  private final HttpClient caller;
+  private final ThrottledLogger invalidMessages = new ThrottledLogger(log);
+  private final HttpClient httpClient;
   private final EventLoop loop;
   private final InetSocketAddress address;
   private final RateBudget budget;
   private final Random random;
-  private final ArrayDeque<Queued> urgent = new ArrayDeque<>();
-  private boolean draining;
+  private final ArrayDeque<QueuedTransaction> urgentQueue = new ArrayDeque<>();
+  private boolean drainScheduled;
   private Duration lastSuccess;
 
   public StoreClient(
-      HttpClient caller,
+      HttpClient httpClient,
       EventLoop loop,
       InetSocketAddress address,
       RateBudget budget,
       Random random) {
-    this.caller = caller;
+    this.httpClient = httpClient;
     this.loop = loop;
     this.address = address;
     this.budget = budget;
@@ -82,18 +84,18 @@
     this.lastSuccess = loop.now();
   }
 
-  /** This controller's part of the write limit from now on. */
-  public void writeRate(double perSecond) {
-    budget.rate(perSecond, Math.max(2, perSecond), loop.now());
+  /** Sets this controller's share of the write limit. */
+  public void setWriteRate(double perSecond) {
+    budget.setRate(perSecond, Math.max(2, perSecond), loop.now());
   }
 
-  /** When the service last carried out something for this controller. */
+  /** When the service last executed a request of this client; initially its creation time. */
   public Duration lastSuccess() {
     return lastSuccess;
   }
 
-  /** A strong read of one key. */
-  public void get(String key, ReadCallback got) {
+  /** Reads one key with strong consistency. */
+  public void get(String key, ReadCallback callback) {
     request(
         "GET",
         StoreProtocol.keyPath(key),
@@ -102,107 +104,112 @@
         (status, map) -> {
           try {
             if (status == 404) {
-              // Of the service's own making, or it proves no absence.
+              // Only a 404 with a body of the service itself proves that the key does not exist.
               StoreProtocol.readRevision(map);
-              got.value(null);
+              callback.value(null);
               return;
             }
             if (status == 200) {
-              got.value(StoreProtocol.readKey(map));
+              callback.value(StoreProtocol.readKey(map));
               return;
             }
           } catch (InvalidMessageException e) {
-            malformed.tell("state service: unreadable answer for " + key, e.getMessage());
+            invalidMessages.tell("state service: unreadable response for " + key, e.getMessage());
           }
-          got.failed();
+          callback.failed();
         });
   }
 
   /**
-   * A transaction that can't wait for its turn among others: it is queued for at most {@code wait}
-   * if the budget is used up, and refused when the queue is full.
+   * Commits a transaction that precedes ordinary ones. It is queued for at most {@code maxWait} if
+   * the budget is used up, and refused if the queue is full.
    */
   public void commitUrgent(
-      List<Condition> conditions, List<Write> writes, Duration wait, CommitCallback then) {
-    if (urgent.size() >= MAX_QUEUED) {
-      then.done(CommitResult.REFUSED, 0);
+      List<Condition> conditions, List<Write> writes, Duration maxWait, CommitCallback callback) {
+    if (urgentQueue.size() >= MAX_QUEUED) {
+      callback.done(CommitResult.REFUSED, 0);
       return;
     }
-    urgent.add(new Queued(conditions, writes, loop.now().plus(wait), then));
-    drain();
+    urgentQueue.add(new QueuedTransaction(conditions, writes, loop.now().plus(maxWait), callback));
+    drainQueue();
   }
 
-  private void drain() {
+  private void drainQueue() {
     Duration now = loop.now();
-    while (!urgent.isEmpty()) {
-      Queued head = urgent.peek();
-      if (now.compareTo(head.until) > 0) {
-        urgent.poll();
-        head.then.done(CommitResult.REFUSED, 0);
-      } else if (budget.take(head.writes.size(), true, now)) {
-        urgent.poll();
+    while (!urgentQueue.isEmpty()) {
+      QueuedTransaction head = urgentQueue.peek();
+      if (now.compareTo(head.deadline) > 0) {
+        urgentQueue.poll();
+        head.callback.done(CommitResult.REFUSED, 0);
+      } else if (budget.tryAcquire(head.writes.size(), true, now)) {
+        urgentQueue.poll();
         sendUrgent(head);
       } else {
         break;
       }
     }
-    if (!urgent.isEmpty() && !draining) {
-      draining = true;
+    if (!urgentQueue.isEmpty() && !drainScheduled) {
+      drainScheduled = true;
       loop.after(
           Duration.ofMillis(25),
           () -> {
-            draining = false;
-            drain();
+            drainScheduled = false;
+            drainQueue();
           });
     }
   }
 
-  /** A refusal changed nothing, so it is tried again while there is time. */
-  private void sendUrgent(Queued queued) {
+  /** A transaction over the rate limit changed nothing, so it is retried until its deadline. */
+  private void sendUrgent(QueuedTransaction queued) {
     send(
         queued.conditions,
         queued.writes,
         (result, revision) -> {
-          if (result == CommitResult.BUSY && loop.now().compareTo(queued.until) < 0) {
-            urgent.addFirst(queued);
-            drain();
+          if (result == CommitResult.BUSY && loop.now().compareTo(queued.deadline) < 0) {
+            urgentQueue.addFirst(queued);
+            drainQueue();
           } else {
-            queued.then.done(result == CommitResult.BUSY ? CommitResult.REFUSED : result, revision);
+            queued.callback.done(
+                result == CommitResult.BUSY ? CommitResult.REFUSED : result, revision);
           }
         });
   }
 
-  /** Whether an ordinary transaction of so many writes may be sent now; takes its share if so. */
+  /** Reserves the budget for an ordinary transaction of this many writes; false if it must wait. */
   public boolean reserve(int writes) {
-    return urgent.isEmpty() && budget.take(writes, false, loop.now());
+    return urgentQueue.isEmpty() && budget.tryAcquire(writes, false, loop.now());
   }
 
-  /** How many writes of ordinary transactions may be sent now. */
-  public int spare() {
-    return urgent.isEmpty() ? budget.spare(loop.now()) : 0;
+  /** Number of writes that ordinary transactions may send now. */
+  public int availableWrites() {
+    return urgentQueue.isEmpty() ? budget.availableForOrdinary(loop.now()) : 0;
   }
 
-  /** Half of what {@link #spare} can be after a pause. */
-  public int halfSpare() {
-    return budget.mostSpare() / 2;
+  /** Half the maximum of {@link #availableWrites}, which is reached after a time without writes. */
+  public int halfOfMaxAvailableWrites() {
+    return budget.maxAvailableForOrdinary() / 2;
   }
 
-  /** As {@link #reserve}, where at least as much is left over: for what can wait for long. */
-  public boolean reserveSpare(int writes) {
+  /** Like {@link #reserve}, if at least as much budget remains: for writes that can wait long. */
+  public boolean reserveIfAmple(int writes) {
     return budget.available(loop.now()) >= 2 * writes && reserve(writes);
   }
 
-  /** As {@link #reserve}, where nobody has written for a while: for what can wait for ever. */
-  public boolean reserveIdle(int writes) {
-    return budget.full(loop.now()) && reserve(writes);
+  /**
+   * Like {@link #reserve}, if this controller has hardly written for a while: for writes that can
+   * wait indefinitely.
+   */
+  public boolean reserveIfIdle(int writes) {
+    return budget.nearlyFull(loop.now()) && reserve(writes);
   }
 
-  /** Sends a transaction whose share was reserved. */
-  public void commitReserved(List<Condition> conditions, List<Write> writes, CommitCallback then) {
-    send(conditions, writes, then);
+  /** Sends a transaction whose budget was reserved. */
+  public void commitReserved(
+      List<Condition> conditions, List<Write> writes, CommitCallback callback) {
+    send(conditions, writes, callback);
   }
 
-  private void send(List<Condition> conditions, List<Write> writes, CommitCallback then) {
+  private void send(List<Condition> conditions, List<Write> writes, CommitCallback callback) {
     request(
         "POST",
         "/commit",
@@ -215,66 +222,68 @@
               try {
                 revision = StoreProtocol.readRevision(map);
               } catch (InvalidMessageException e) {
-                // Not of the service's own making: it does not tell what was changed, or that nothing was.
-                then.done(CommitResult.UNKNOWN, 0);
+                // Not the service's own response, so it doesn't tell whether anything changed.
+                callback.done(CommitResult.UNKNOWN, 0);
                 return;
               }
-              then.done(
+              callback.done(
                   status == 200 ? CommitResult.DONE : CommitResult.CONFLICT,
                   status == 200 ? revision : 0);
             }
             case 400 -> {
               String error = map == null ? "" : map.path("error").asText();
               if (error.equals("no such lease")) {
-                then.done(CommitResult.NO_LEASE, 0);
+                callback.done(CommitResult.NO_LEASE, 0);
               } else {
                 log.error("state service refused a transaction as malformed: {}", map);
-                then.done(CommitResult.MALFORMED, 0);
+                callback.done(CommitResult.MALFORMED, 0);
               }
             }
             case 429 -> {
-              budget.refused(loop.now(), Duration.ofMillis(50 + random.nextInt(100)));
+              budget.onThrottled(loop.now(), Duration.ofMillis(50 + random.nextInt(100)));
               log.debug("state service: 429 for a transaction of {} writes", writes.size());
-              then.done(CommitResult.BUSY, 0);
+              callback.done(CommitResult.BUSY, 0);
             }
-            case 503 -> then.done(CommitResult.REFUSED, 0);
-            default -> then.done(CommitResult.UNKNOWN, 0);
+            case 503 -> callback.done(CommitResult.REFUSED, 0);
+            default -> callback.done(CommitResult.UNKNOWN, 0);
           }
         });
   }
 
-  public void grant(Duration life, Consumer<Long> then) {
+  /** Requests a lease; the callback receives its ID, or null if none was granted. */
+  public void grantLease(Duration ttl, Consumer<Long> callback) {
     request(
         "POST",
         "/grants",
-        StoreProtocol.grant(life.toMillis()),
+        StoreProtocol.grant(ttl.toMillis()),
         TIMEOUT,
         (status, map) -> {
           try {
-            then.accept(status == 200 ? StoreProtocol.readGrant(map) : null);
+            callback.accept(status == 200 ? StoreProtocol.readGrant(map) : null);
           } catch (InvalidMessageException e) {
-            then.accept(null);
+            callback.accept(null);
           }
         });
   }
 
-  /** Renews a lease; tells the answer's status, 0 for none. */
-  public void renew(long lease, Consumer<Integer> then) {
+  /** Renews a lease; the callback receives the response's status, or 0 if there was none. */
+  public void renewLease(long lease, Consumer<Integer> callback) {
     request(
         "POST",
         StoreProtocol.renewPath(lease),
         Cbor.encode(Cbor.map()),
         TIMEOUT,
-        (status, map) -> then.accept(status));
+        (status, map) -> callback.accept(status));
   }
 
+  /** Sends a request without using the write budget; a refused connection counts as status 503. */
   void request(
       String method,
       String path,
       byte[] body,
       Duration timeout,
-      CborResponseHandler.Callback then) {
-    caller.call(
+      CborResponseHandler.Callback callback) {
+    httpClient.call(
         address,
         method,
         path,
@@ -287,7 +296,7 @@
               if (status == 200 || status == 404 || status == 409) {
                 lastSuccess = loop.now();
               }
-              then.take(status, map);
+              callback.take(status, map);
             }));
   }
 }
--- a/src/main/java/io/tansystack/store/Watcher.java
+++ b/src/main/java/io/tansystack/store/Watcher.java
@@ -14,70 +14,78 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a copy of everything under one prefix by one ordered stream: first all pages, then one watch
- * after the other. Because there is one stream, whoever has seen a change has seen all that came
- * before it; the safety of launches and of {@code forget} rests on that.
+ * Keeps the local cache of all keys under one prefix current by one ordered stream: first all pages
+ * of a list, then one watch request after the other. Because there is only one stream, a controller
+ * that has seen a change has seen all earlier ones too. The safety of start and {@code forget}
+ * commands depends on that.
  */
 public final class Watcher {
   private static final Logger log = LoggerFactory.getLogger(Watcher.class);
-  private static final Duration HOLD = Duration.ofMillis(1500);
+  private static final Duration LONG_POLL = Duration.ofMillis(1500);
   private static final Duration PAGE_TIMEOUT = Duration.ofSeconds(4);
   private static final Duration RETRY = Duration.ofMillis(250);
 
   /** Receives the stream. */
   public interface Listener {
     /**
-     * Everything, page by page, each page newer than those before; and what has changed since the
-     * first, in order. Together they are everything as of the revision; it replaces all that was known.
+     * All keys, which replace everything known before: the listed pages, of which later ones may be
+     * newer, and the changes since the first page, in order. Together they are the state as of the
+     * revision.
      */
     void snapshot(List<Change> pages, List<Change> since, long revision);
 
-    /** The next changes, in order. */
+    /** The next changes, in order; with them the cache is as of the revision. */
     void changes(List<Change> changes, long revision);
   }
 
-  private final ThrottledLogger malformed = new ThrottledLogger(log);
+  private final ThrottledLogger invalidMessages = new ThrottledLogger(log);
   private final StoreClient store;
   private final EventLoop loop;
   private final String prefix;
-  private final Duration spacing;
+  private final Duration minInterval;
   private final Listener listener;
-  private final Consumer<Duration> synced;
-  private Duration syncedAt;
-  private Duration completeBefore;
-  private boolean confirming;
+  private final Consumer<Duration> upToDateListener;
+  private Duration upToDateAsOf;
+  private Duration upToDateBeforeLastUpdate;
+  private boolean confirmInFlight;
   private long revision;
 
-  /** @param synced told, after the listener, up to which moment the copy is complete */
+  /**
+   * @param minInterval minimum time between the starts of two watch requests
+   * @param upToDateListener receives, after the listener, the moment as of which the cache is up to
+   *     date
+   */
   public Watcher(
       StoreClient store,
       EventLoop loop,
       String prefix,
-      Duration spacing,
+      Duration minInterval,
       Listener listener,
-      Consumer<Duration> synced) {
-    this.synced = synced;
+      Consumer<Duration> upToDateListener) {
+    this.upToDateListener = upToDateListener;
     this.store = store;
     this.loop = loop;
     this.prefix = prefix;
-    this.spacing = spacing;
+    this.minInterval = minInterval;
     this.listener = listener;
   }
 
+  /** Reads everything, then watches for changes. */
   public void start() {
     load(new ArrayList<>(), "", -1, loop.now());
   }
 
   /**
-   * Asks whether the copy is complete, where nothing has been heard for a while: if the service's
-   * revision is the one that is known here, it is, up to the moment of asking. If not, the watch is
-   * about to bring what is missing. One answer serves all who wait.
+   * Asks the service whether the cache is up to date, for use when no change has arrived for a
+   * while. If the service's revision is the one known here, the cache is up to date as of the
+   * moment of the request. Otherwise the watch is about to deliver what is missing. One response
+   * serves all callers that wait for it.
    */
-  public void confirm() {
-    if (confirming || syncedAt == null) {
+  public void confirmUpToDate() {
+    if (confirmInFlight || upToDateAsOf == null) {
       return;
     }
-    confirming = true;
+    confirmInFlight = true;
     Duration sentAt = loop.now();
     store.request(
         "GET",
@@ -85,97 +93,99 @@
         null,
         PAGE_TIMEOUT,
         (status, map) -> {
-          confirming = false;
+          confirmInFlight = false;
           try {
             if (status == 200 && StoreProtocol.readList(map).revision() <= revision) {
-              syncedAt = sentAt.compareTo(syncedAt) > 0 ? sentAt : syncedAt;
-              synced.accept(sentAt);
+              upToDateAsOf = sentAt.compareTo(upToDateAsOf) > 0 ? sentAt : upToDateAsOf;
+              upToDateListener.accept(sentAt);
             }
           } catch (InvalidMessageException e) {
-            malformed.tell("state service: unreadable list", e.getMessage());
+            invalidMessages.tell("state service: unreadable list", e.getMessage());
           }
         });
   }
 
-  /** The copy holds at least all that was committed before this moment; null before the first load. */
-  public Duration syncedAt() {
-    return syncedAt;
+  /** All changes committed before this moment are in the cache; null before the first load. */
+  public Duration upToDateAsOf() {
+    return upToDateAsOf;
   }
 
   /**
-   * Up to which moment the copy was complete before the newest changes were taken in: whatever they tell
-   * of was committed later. Null before the first load; of what the first load brings it says no more
-   * than when that began.
+   * The moment as of which the cache was up to date before the latest changes were applied, so that
+   * these were committed later. Null before the first load. For the keys of the first load it is
+   * only the moment when that load began; they may have been committed earlier.
    */
-  public Duration completeBefore() {
-    return completeBefore;
+  public Duration upToDateBeforeLastUpdate() {
+    return upToDateBeforeLastUpdate;
   }
 
+  /** The revision of the cache; 0 before the first load. */
   public long revision() {
     return revision;
   }
 
   /**
-   * Pages are read one after the other, so later ones may be newer; versions keep the changes that come
-   * twice from doing harm.
+   * Reads the pages of the list one after the other. Later pages may be newer, so changes may
+   * arrive twice; the versions of the keys make that harmless.
    */
-  private void load(List<Change> all, String after, long firstRevision, Duration startedAt) {
+  private void load(List<Change> pages, String afterKey, long firstRevision, Duration startedAt) {
     store.request(
         "GET",
-        StoreProtocol.listPath(prefix, after),
+        StoreProtocol.listPath(prefix, afterKey),
         null,
         PAGE_TIMEOUT,
         (status, map) -> {
           try {
             if (status == 200) {
               Changes page = StoreProtocol.readList(map);
-              all.addAll(page.changes());
+              pages.addAll(page.changes());
               long first = firstRevision < 0 ? page.revision() : firstRevision;
               if (page.more() && !page.changes().isEmpty()) {
-                load(all, page.changes().get(page.changes().size() - 1).key(), first, startedAt);
+                load(pages, page.changes().get(page.changes().size() - 1).key(), first, startedAt);
               } else {
-                complete(all, first, startedAt);
+                loadChangesSince(pages, first, startedAt);
               }
               return;
             }
-            // What was read is kept: all controllers read at the same moment after a common end, and
-            // whoever began anew for each refused page might never come through.
-            loop.after(RETRY, () -> load(all, after, firstRevision, startedAt));
+            // Pages that were read are kept: after a full restart all controllers read at the same
+            // time, and one that started over after each refused page might never finish.
+            loop.after(RETRY, () -> load(pages, afterKey, firstRevision, startedAt));
             return;
           } catch (InvalidMessageException e) {
-            malformed.tell("state service: unreadable list", e.getMessage());
+            invalidMessages.tell("state service: unreadable list", e.getMessage());
           }
           loop.after(RETRY, this::start);
         });
   }
 
   /**
-   * Nothing is told before all that changed while the pages were read is known: between two pages of
-   * different age a job or a machine may seem to be what it never was.
+   * Reads the changes that were made while the pages were read, before the listener receives
+   * anything: pages of different age may together show a job or a machine in a state that it never
+   * had.
    */
-  private void complete(List<Change> pages, long first, Duration startedAt) {
+  private void loadChangesSince(List<Change> pages, long firstRevision, Duration startedAt) {
     store.request(
         "GET",
-        StoreProtocol.watchPath(prefix, first, 0),
+        StoreProtocol.watchPath(prefix, firstRevision, 0),
         null,
         PAGE_TIMEOUT,
         (status, map) -> {
           try {
             if (status == 200) {
               Changes since = StoreProtocol.readWatch(map);
-              revision = Math.max(first, since.revision());
-              completeBefore = syncedAt == null ? startedAt : syncedAt;
-              syncedAt = startedAt;
+              revision = Math.max(firstRevision, since.revision());
+              upToDateBeforeLastUpdate = upToDateAsOf == null ? startedAt : upToDateAsOf;
+              upToDateAsOf = startedAt;
               listener.snapshot(pages, since.changes(), revision);
               watch();
               return;
             }
             if (status != 410) {
-              loop.after(RETRY, () -> complete(pages, first, startedAt));
+              loop.after(RETRY, () -> loadChangesSince(pages, firstRevision, startedAt));
               return;
             }
           } catch (InvalidMessageException e) {
-            malformed.tell("state service: unreadable watch", e.getMessage());
+            invalidMessages.tell("state service: unreadable watch", e.getMessage());
           }
           loop.after(RETRY, this::start);
         });
@@ -185,11 +195,11 @@
     Duration sentAt = loop.now();
     store.request(
         "GET",
-        StoreProtocol.watchPath(prefix, revision, HOLD.toMillis()),
+        StoreProtocol.watchPath(prefix, revision, LONG_POLL.toMillis()),
         null,
-        HOLD.plusSeconds(3),
+        LONG_POLL.plusSeconds(3),
         (status, map) -> {
-          Duration next = RETRY;
+          Duration delay = RETRY;
           if (status == 410) {
             log.info("watch: revision {} is too old, reading everything again", revision);
             start();
@@ -198,23 +208,23 @@
           try {
             if (status == 200) {
               Changes changes = StoreProtocol.readWatch(map);
-              completeBefore = syncedAt;
-              syncedAt = sentAt;
+              upToDateBeforeLastUpdate = upToDateAsOf;
+              upToDateAsOf = sentAt;
               revision = Math.max(revision, changes.revision());
               listener.changes(changes.changes(), revision);
-              synced.accept(sentAt);
-              next = spacing.minus(loop.now().minus(sentAt));
+              upToDateListener.accept(sentAt);
+              delay = minInterval.minus(loop.now().minus(sentAt));
             }
           } catch (InvalidMessageException e) {
-            // Nothing may be skipped: what can't be read is read again as a whole.
-            malformed.tell("state service: unreadable watch", e.getMessage());
+            // No change may be skipped, so everything is read again.
+            invalidMessages.tell("state service: unreadable watch", e.getMessage());
             loop.after(RETRY, this::start);
             return;
           }
-          if (next.isNegative() || next.isZero()) {
+          if (delay.isNegative() || delay.isZero()) {
             watch();
           } else {
-            loop.after(next, this::watch);
+            loop.after(delay, this::watch);
           }
         });
   }
--- a/src/main/java/io/tansystack/workers/MachineClaims.java
+++ b/src/main/java/io/tansystack/workers/MachineClaims.java
@@ -188,7 +188,7 @@
     boolean neverClaimed = record == null && clusterState.machineVersion(report.machine()) == 0;
     if (!neverClaimed
         && !pendingClaims.containsKey(report.machine())
-        && !claimBudget.take(1, true, loop.now())) {
+        && !claimBudget.tryAcquire(1, true, loop.now())) {
       // Its former owner may be back before the worker's next attempt; then no claim is needed.
       reply.send(503, Cbor.encode(Responses.error("too many machines to claim")));
       return;
--- a/src/test/java/io/tansystack/fleet/JobArrivalsTest.java
+++ b/src/test/java/io/tansystack/fleet/JobArrivalsTest.java
@@ -28,28 +28,30 @@
   }
 
   /**
-   * A job of eight tasks, four to a machine, every so many seconds for so long, then quiet; the machine
-   * boots in 40 s. A negative count stands for "not known yet".
+   * A job of eight tasks, four to a machine, arrives every {@code everyS} seconds until {@code
+   * lastArrivalS}, then none for {@code quietS}. The machine boots in 40 s. A negative machine
+   * count stands for "not known yet".
    */
   @ParameterizedTest
   @CsvSource({
     "2, 60, 0, -1, false", "2, 200, 0, 40, false", "2, 200, 20, 33, false", "2, 200, 30, 30, true",
     "20, 200, 30, 3, false", "20, 600, 250, 0, false", "2, 30, 60, -1, false"
   })
-  void whatComesWhileAMachineBoots(int every, int last, int quiet, int machines, boolean ended) {
-    JobArrivals starts = new JobArrivals();
+  void estimatesMachinesAndDetectsEndOfArrivals(
+      int everyS, int lastArrivalS, int quietS, int machines, boolean stopped) {
+    JobArrivals arrivals = new JobArrivals();
     Map<String, Job> jobs = new TreeMap<>();
     Duration start = Duration.ofSeconds(1000);
-    starts.startAnew(start);
-    for (int s = 0; s <= last + quiet; s++) {
-      if (s <= last && s % every == 0) {
+    arrivals.reset(start);
+    for (int s = 0; s <= lastArrivalS + quietS; s++) {
+      if (s <= lastArrivalS && s % everyS == 0) {
         jobs.put("wk-" + s, job(s));
       }
-      starts.look(jobs, start.plusSeconds(s));
+      arrivals.update(jobs, start.plusSeconds(s));
     }
-    Duration now = start.plusSeconds(last + quiet);
-    double found = starts.machinesWhile(TYPE, spec -> true, now);
-    assertEquals(machines, found == Double.MAX_VALUE ? -1 : Math.round(found), 1);
-    assertEquals(ended, starts.haveEnded(now));
+    Duration now = start.plusSeconds(lastArrivalS + quietS);
+    double estimate = arrivals.machinesNeededPerBoot(TYPE, spec -> true, now);
+    assertEquals(machines, estimate == Double.MAX_VALUE ? -1 : Math.round(estimate), 1);
+    assertEquals(stopped, arrivals.haveStopped(now));
   }
 }
--- a/src/test/java/io/tansystack/fleet/MachineRecordWriterTest.java
+++ b/src/test/java/io/tansystack/fleet/MachineRecordWriterTest.java
@@ -20,7 +20,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Hundreds of machines fall idle at once: what is written of them must not hold up placements. */
+/**
+ * Guards against record changes that block placements: when work ends, hundreds of machines become
+ * idle at once, and their record changes compete with placements for the write limit.
+ */
 class MachineRecordWriterTest {
   private static final int WRITES_PER_SECOND = 15;
   private static final int MACHINES = 120;
@@ -29,24 +32,24 @@
   private final Map<String, CommitResult> results = new HashMap<>();
   private int transactions;
 
-  /** One of them has another version by now, so that whatever names it fails. */
-  private final HttpClient caller =
-      (to, method, path, body, timeout, outcome) -> {
+  /** The record of n-7 has a newer version, so that every transaction with it fails. */
+  private final HttpClient httpClient =
+      (to, method, path, body, timeout, handler) -> {
         transactions++;
         boolean conflict = decode(body).toString().contains("\"ts/machines/n-7\"");
         loop.after(
             Duration.ofMillis(5),
-            () -> outcome.answer(conflict ? 409 : 200, Cbor.encode(Cbor.map().put("Ledger", 9))));
+            () -> handler.answer(conflict ? 409 : 200, Cbor.encode(Cbor.map().put("Ledger", 9))));
       };
 
   private final StoreClient store =
       new StoreClient(
-          caller,
+          httpClient,
           loop,
           new InetSocketAddress("127.0.0.1", 9),
           new RateBudget(WRITES_PER_SECOND, WRITES_PER_SECOND, loop.now()),
           new Random(1));
-  private final MachineRecordWriter writes = new MachineRecordWriter(store);
+  private final MachineRecordWriter writer = new MachineRecordWriter(store);
 
   private static ObjectNode decode(byte[] body) {
     try {
@@ -56,47 +59,53 @@
     }
   }
 
-  private void ask(int machine) {
+  private void enqueue(int machine) {
     String name = "n-" + machine;
     String key = "ts/machines/" + name;
-    writes.add(
+    writer.add(
         name,
         new Condition(key, 3),
         new Write(key, null, 0),
         (result, revision) -> results.put(name, result));
   }
 
-  /** Or a machine whose deletion was confirmed would count as written and keep its record. */
+  /**
+   * Without the result, a machine whose deletion was confirmed would count as removed and keep its
+   * record.
+   */
   @Test
-  void whatIsDroppedIsTold() {
-    ask(1);
-    writes.startAnew();
-    writes.send();
+  void resetReportsDroppedWritesAsRefused() {
+    enqueue(1);
+    writer.reset();
+    writer.send();
     assertEquals(Map.of("n-1", CommitResult.REFUSED), results);
     assertEquals(0, transactions);
   }
 
   @Test
-  void placementsGoOnAndOneThatFailsSpoilsNoOthers() {
+  void placementsProceedAndAConflictFailsOnlyItsOwnWrite() {
     for (int machine = 0; machine < MACHINES; machine++) {
-      ask(machine);
+      enqueue(machine);
     }
     int refused = 0;
     for (int i = 0; i < 100; i++) {
-      writes.send();
-      refused += store.spare() >= 2 && store.reserve(2) ? 0 : 1;
+      writer.send();
+      refused += store.availableWrites() >= 2 && store.reserve(2) ? 0 : 1;
       loop.runFor(Duration.ofMillis(250));
       for (int machine = 0; machine < MACHINES; machine++) {
         if (results.get("n-" + machine) == CommitResult.CONFLICT && machine != 7) {
-          ask(machine); // As whoever asked does while it still wants it.
+          enqueue(machine); // As the callers do while the change is still due.
         }
       }
     }
-    assertTrue(refused <= 20, refused + " of 100 placements had to wait a turn");
+    assertTrue(refused <= 20, refused + " of 100 placements had to wait for a later tick");
     assertEquals(CommitResult.CONFLICT, results.remove("n-7"));
-    assertEquals(MACHINES - 1, results.size(), "in what placements left");
+    assertEquals(MACHINES - 1, results.size(), "all written with the writes that placements left");
     assertTrue(
-        results.values().stream().allMatch(CommitResult.DONE::equals), "one conflict is its own");
-    assertTrue(transactions < results.size() / 3, transactions + " for " + results.size());
+        results.values().stream().allMatch(CommitResult.DONE::equals),
+        "the conflict of n-7 fails no other write");
+    assertTrue(
+        transactions < results.size() / 3,
+        transactions + " transactions, machines written: " + results.size());
   }
 }
--- a/src/test/java/io/tansystack/fleet/RentalsTest.java
+++ b/src/test/java/io/tansystack/fleet/RentalsTest.java
@@ -31,25 +31,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Rentals through lost answers, refusals and changes of their holder: nothing is rented twice. */
+/**
+ * Guards against renting machines twice, or not at all, when responses are lost, the cloud refuses,
+ * or the autoscaler role changes its holder.
+ */
 class RentalsTest {
-  private static final Duration LIST_AGE = Duration.ofSeconds(8);
+  private static final Duration MAX_LIST_AGE = Duration.ofSeconds(8);
   private static final MachineType TYPE =
       new MachineType("small", 4, 0, 16, 50, 1, 1, 0.3, 40, List.of("a", "b"));
 
   private final SimEventLoop loop = new SimEventLoop();
-  private final ClusterState world = new ClusterState(touched -> {});
-  private final List<String> asked = new ArrayList<>();
-  private final InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 9);
+  private final ClusterState clusterState = new ClusterState(delta -> {});
+  private final List<String> requests = new ArrayList<>();
+  private final InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 9);
   private long revision = 10;
   private int storeStatus = 200;
   private int cloudStatus = 200;
   private Rentals rentals;
   private Inventory inventory;
 
-  private final HttpClient caller =
-      (to, method, path, body, timeout, outcome) -> {
-        ObjectNode answer = Cbor.map();
+  private final HttpClient httpClient =
+      (to, method, path, body, timeout, handler) -> {
+        ObjectNode response = Cbor.map();
         int status = 200;
         if (path.equals("/commit")) {
           status = storeStatus;
@@ -57,28 +60,30 @@
             JsonNode write = decode(body).get("Then").get(0);
             change(write.get("Write").asText(), (ObjectNode) write.get("Value"));
           }
-          answer.put("Ledger", revision);
+          response.put("Ledger", revision);
         } else if (method.equals("GET")) {
-          answer.putArray("Berths");
-          answer.put("HasNext", false);
+          response.putArray("Berths");
+          response.put("HasNext", false);
         } else {
           ObjectNode request = decode(body);
           String id = request.get("Charter").asText();
-          asked.add(id + " " + request.get("Yard").asText() + " " + request.get("HowMany"));
-          assertTrue(world.rentals().value().toString().contains(id), "not sent before it is written");
+          requests.add(id + " " + request.get("Yard").asText() + " " + request.get("HowMany"));
+          assertTrue(
+              clusterState.rentals().value().toString().contains(id),
+              "not sent before it is written");
           status = cloudStatus;
-          answer.put("error", "no capacity");
+          response.put("error", "no capacity");
           for (int i = 0; i < request.get("HowMany").asInt(); i++) {
-            answer.withArray("Berths").add("n-" + id + "-" + i);
+            response.withArray("Berths").add("n-" + id + "-" + i);
           }
         }
-        int is = status;
+        int sentStatus = status;
         loop.execute(
             () -> {
-              if (is == 0) {
-                outcome.silence(false);
+              if (sentStatus == 0) {
+                handler.silence(false);
               } else {
-                outcome.answer(is, Cbor.encode(answer));
+                handler.answer(sentStatus, Cbor.encode(response));
               }
             });
       };
@@ -93,28 +98,34 @@
 
   private void change(String key, ObjectNode value) {
     revision++;
-    world.changes(List.of(new Change(key, value, revision)), revision);
+    clusterState.changes(List.of(new Change(key, value, revision)), revision);
   }
 
-  /** Another controller, or another start of one, takes the duty. */
+  /** Another controller, or the same one after a restart, takes the autoscaler role. */
   @BeforeEach
-  void newHolder() {
+  void takeAutoscalerRole() {
     change(ClusterState.FLEET_KEY, ClusterState.holder("c", "boot"));
-    CloudClient cloud = new CloudClient(caller, loop, nowhere, 4);
+    CloudClient cloud = new CloudClient(httpClient, loop, unusedAddress, 4);
     StoreClient store =
-        new StoreClient(caller, loop, nowhere, new RateBudget(100, 100, loop.now()), new Random(1));
-    MachineReleaser returns = new MachineReleaser(loop, cloud, store, world);
-    inventory = new Inventory(loop, cloud, world, t -> TYPE, v -> null, returns, LIST_AGE);
+        new StoreClient(
+            httpClient,
+            loop,
+            unusedAddress,
+            new RateBudget(100, 100, loop.now()),
+            new Random(1));
+    MachineReleaser releaser = new MachineReleaser(loop, cloud, store, clusterState);
+    inventory =
+        new Inventory(loop, cloud, clusterState, t -> TYPE, v -> null, releaser, MAX_LIST_AGE);
     rentals =
         new Rentals(
-            loop, cloud, store, world, inventory, OperatorSettings.defaults(),
-            () -> Map.of("small", TYPE), LIST_AGE);
-    inventory.startAnew(loop.now());
-    rentals.startAnew(loop.now());
+            loop, cloud, store, clusterState, inventory, OperatorSettings.defaults(),
+            () -> Map.of("small", TYPE), MAX_LIST_AGE);
+    inventory.reset(loop.now());
+    rentals.reset(loop.now());
   }
 
-  /** So many tasks, four to a machine, wait for so many seconds. */
-  private void lacking(int tasks, double seconds) {
+  /** Runs the ticks for this time while this many tasks, four to a machine, lack capacity. */
+  private void runWithUnmetDemand(int tasks, double seconds) {
     JobSpec spec =
         new JobSpec(
             "wk-1", "c", "t", JobKind.ARRAY, Priority.NORMAL, 1000, 1, 0, 1, "img", 1, null, "a",
@@ -122,65 +133,71 @@
     List<UnmetDemand> unmet =
         tasks == 0 ? List.of() : List.of(new UnmetDemand("wk-1", spec, tasks, false, Map.of()));
     for (int i = 0; i < seconds * 4; i++) {
-      rentals.turn(unmet, loop.now());
+      rentals.tick(unmet, loop.now());
       inventory.refresh(loop.now());
       loop.runFor(Duration.ofMillis(250));
     }
   }
 
   @Test
-  void allThatIsLackingIsAskedForAtOnceAndOnlyOnce() {
-    lacking(480, 1);
-    assertEquals(3, asked.size(), asked.toString());
-    assertTrue(asked.get(2).endsWith(" a 20"), asked.toString());
-    lacking(480, 5);
-    assertEquals(3, asked.size(), asked.toString());
+  void wholeShortageIsRequestedAtOnceAndOnlyOnce() {
+    runWithUnmetDemand(480, 1);
+    assertEquals(3, requests.size(), requests.toString());
+    assertTrue(requests.get(2).endsWith(" a 20"), requests.toString());
+    runWithUnmetDemand(480, 5);
+    assertEquals(3, requests.size(), requests.toString());
   }
 
   @ParameterizedTest
   @CsvSource({
-    // What the cloud does, and how many names are asked for, how often, within 5 s.
-    "0, 1, 2", // It may have been carried out: only the same name can tell.
-    "429, 1, 5", // It was not, and is as good as new.
-    "503, 1, 1", // Refused; the kind is left alone for a while.
+    // The cloud's status; number of distinct request IDs and least number of requests within 5 s.
+    "0, 1, 2", // No response: the rental may have been executed, which only the same ID can tell.
+    "429, 1, 5", // The rental was not executed, and the same request can be sent again.
+    "503, 1, 1", // Refused: the offering is not requested again for a while.
   })
-  void whatIsNotAnsweredIsAskedAgainByTheSameName(int status, int names, int atLeast) {
+  void requestsWithoutResponseAreRetriedUnderTheSameId(
+      int status, int distinctIds, int minRequests) {
     cloudStatus = status;
-    lacking(8, 5);
-    assertEquals(names, asked.stream().distinct().count(), asked.toString());
-    assertTrue(asked.size() >= atLeast, asked.toString());
+    runWithUnmetDemand(8, 5);
+    assertEquals(distinctIds, requests.stream().distinct().count(), requests.toString());
+    assertTrue(requests.size() >= minRequests, requests.toString());
   }
 
-  /** Without the journal the next holder could not know of it. */
+  /** Without a journal entry, the next holder of the role could not know of the request. */
   @Test
-  void nothingIsAskedForThatCouldNotBeWritten() {
+  void unjournaledRequestsAreNotSent() {
     storeStatus = 409;
-    lacking(8, 3);
-    assertEquals(List.of(), asked);
+    runWithUnmetDemand(8, 3);
+    assertEquals(List.of(), requests);
   }
 
-  /** The holder ended before the answer: the next one asks by the same name, though it wants nothing. */
+  /**
+   * The holder ended before the response: the next one repeats the request under the same ID, even
+   * without unmet demand.
+   */
   @Test
-  void theNextHolderAsksAgainForWhatWasNotAnswered() {
+  void nextHolderRetriesUnansweredRequest() {
     cloudStatus = 0;
-    lacking(8, 1);
-    String first = asked.get(0);
+    runWithUnmetDemand(8, 1);
+    String first = requests.get(0);
     cloudStatus = 200;
-    newHolder();
-    asked.clear();
-    lacking(0, 3);
-    assertEquals(List.of(first), asked);
+    takeAutoscalerRole();
+    requests.clear();
+    runWithUnmetDemand(0, 3);
+    assertEquals(List.of(first), requests);
   }
 
-  /** What was rented is not in the list yet. It is counted on until the list must have it. */
+  /**
+   * Rented machines that are not in the list yet count as pending until every list must show them.
+   */
   @Test
-  void theNextHolderCountsWhatWasRentedBefore() {
-    lacking(8, 3);
-    assertEquals(1, asked.size());
-    newHolder();
-    lacking(8, 7);
-    assertEquals(1, asked.size(), "not rented twice");
-    lacking(8, 4);
-    assertEquals(2, asked.size(), "the list has none of it, so nothing is about to come");
+  void nextHolderCountsEarlierRentals() {
+    runWithUnmetDemand(8, 3);
+    assertEquals(1, requests.size());
+    takeAutoscalerRole();
+    runWithUnmetDemand(8, 7);
+    assertEquals(1, requests.size(), "not rented twice");
+    runWithUnmetDemand(8, 4);
+    assertEquals(2, requests.size(), "the list shows no machine, so nothing counts as pending");
   }
 }
