--- a/src/main/java/io/tansystack/cluster/SubmissionBatches.java
+++ b/src/main/java/io/tansystack/cluster/SubmissionBatches.java
@@ -84,7 +84,7 @@
       batch.jobIds.add(id);
       batchCountByJob.add(id);
       Job known = jobs.apply(id);
-      if (finished.apply(id) || (known != null && !known.record().untouched())) {
+      if (finished.apply(id) || (known != null && !known.record().neverPlaced())) {
         continue;
       }
       long earliestAcceptance = earliestAcceptance(id);
@@ -128,7 +128,7 @@
    * that applied.
    */
   JobRecord effectiveRecord(String id, JobRecord record, long version) {
-    if (!record.untouched()) {
+    if (!record.neverPlaced()) {
       openBatchesByJob.removeAll(id).forEach(batch -> batch.openJobIds.remove(id));
       return record;
     }
--- a/src/main/java/io/tansystack/emulator/EmulatedCloud.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedCloud.java
@@ -95,7 +95,7 @@
         park.types().stream().filter(t -> t.name().equals(typeName)).findFirst().orElseThrow();
     ObjectNode map = Cbor.map();
     ArrayNode names = map.putArray("Berths");
-    int count = Math.min(body.get("HowMany").asInt(), CloudProtocol.MAX_RENT);
+    int count = Math.min(body.get("HowMany").asInt(), CloudProtocol.MAX_MACHINES_PER_RENT);
     boolean spot = body.path("Loaners").asBoolean();
     for (int i = 0; i < count; i++) {
       String name = park.rent(type, body.get("Yard").asText(), spot);
@@ -123,7 +123,7 @@
       if (machine.name().compareTo(since) <= 0 || age.isNegative()) {
         continue;
       }
-      more = list.size() == CloudProtocol.MAX_LIST;
+      more = list.size() == CloudProtocol.MACHINE_LIST_PAGE_SIZE;
       if (more) {
         break;
       }
--- a/src/main/java/io/tansystack/emulator/EmulatedFleet.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedFleet.java
@@ -275,7 +275,7 @@
   @Override
   public int gangSize(String job) {
     JobSpec spec = judge.job(job);
-    return spec.shape() == JobKind.GANG ? spec.tasks() : 0;
+    return spec.kind() == JobKind.GANG ? spec.tasks() : 0;
   }
 
   @Override
--- a/src/main/java/io/tansystack/fleet/Inventory.java
+++ b/src/main/java/io/tansystack/fleet/Inventory.java
@@ -158,14 +158,14 @@
               update(listed);
               last = listed.machine();
             }
-            if (page.more() && !page.machines().isEmpty()) {
+            if (page.hasMore() && !page.machines().isEmpty()) {
               requestPage(last, seen, requestedAt);
               return;
             }
             complete = true;
             releaseUnlisted(seen, requestedAt);
           } catch (InvalidMessageException e) {
-            invalidMessages.tell("the machine list is unreadable", e.getMessage());
+            invalidMessages.warn("the machine list is unreadable", e.getMessage());
           }
         });
   }
--- a/src/main/java/io/tansystack/fleet/MachineReleaser.java
+++ b/src/main/java/io/tansystack/fleet/MachineReleaser.java
@@ -109,7 +109,7 @@
     }
     List<String> batch = new ArrayList<>();
     for (String name : pendingDeletions.keySet()) {
-      if (batch.size() < CloudProtocol.MAX_DELETE) {
+      if (batch.size() < CloudProtocol.MAX_MACHINES_PER_DELETE) {
         batch.add(name);
       }
     }
@@ -117,7 +117,7 @@
     cloud.call(
         "POST",
         "/machines/delete",
-        CloudProtocol.delete(batch),
+        CloudProtocol.encodeDelete(batch),
         (status, map) -> {
           callInFlight = false;
           if (status != 200) {
--- a/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
+++ b/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
@@ -86,7 +86,7 @@
       types = next;
       return !next.isEmpty();
     } catch (InvalidMessageException e) {
-      invalidMessages.tell("machine types are unreadable", e.getMessage());
+      invalidMessages.warn("machine types are unreadable", e.getMessage());
       return false;
     }
   }
--- a/src/main/java/io/tansystack/fleet/Rentals.java
+++ b/src/main/java/io/tansystack/fleet/Rentals.java
@@ -86,7 +86,7 @@
               FieldReader.text(map, "type"),
               FieldReader.text(map, "zone"),
               FieldReader.flag(map, "spot"));
-      int count = (int) FieldReader.integer(map, "count", 1, CloudProtocol.MAX_RENT);
+      int count = (int) FieldReader.integer(map, "count", 1, CloudProtocol.MAX_MACHINES_PER_RENT);
       Request request = new Request(FieldReader.text(map, "id"), offering, count);
       request.rentedCount = Math.min(map.path("got").asInt(-1), count);
       request.answeredAt = request.rentedCount < 0 ? null : now;
@@ -227,11 +227,11 @@
     List<Request> newRequests = new ArrayList<>();
     shortage.forEach(
         (offering, count) -> {
-          for (int remaining = count; remaining > 0; remaining -= CloudProtocol.MAX_RENT) {
+          for (int remaining = count; remaining > 0; remaining -= CloudProtocol.MAX_MACHINES_PER_RENT) {
             if (newRequests.size() < calls) {
               String id = "r-" + fleetVersion + "-" + ++counter;
               newRequests.add(
-                  new Request(id, offering, Math.min(remaining, CloudProtocol.MAX_RENT)));
+                  new Request(id, offering, Math.min(remaining, CloudProtocol.MAX_MACHINES_PER_RENT)));
             }
           }
         });
@@ -298,7 +298,7 @@
     cloud.call(
         "POST",
         "/machines",
-        CloudProtocol.rent(r.id, offering.type(), offering.zone(), offering.spot(), r.count),
+        CloudProtocol.encodeRent(r.id, offering.type(), offering.zone(), offering.spot(), r.count),
         (status, map) -> {
           r.callInFlight = false;
           if (requests.get(r.id) != r) {
@@ -308,7 +308,7 @@
           try {
             names = status == 200 ? CloudProtocol.readRented(map) : names;
           } catch (InvalidMessageException e) {
-            invalidMessages.tell(
+            invalidMessages.warn(
                 "the response to rental " + r.id + " is unreadable", e.getMessage());
             status = 0;
           }
--- a/src/main/java/io/tansystack/http/CborResponseHandler.java
+++ b/src/main/java/io/tansystack/http/CborResponseHandler.java
@@ -35,7 +35,7 @@
       map = Cbor.decodeMap(answer);
     } catch (InvalidMessageException e) {
       if (status == 200) {
-        MALFORMED.tell(service + ": unreadable answer", e.getMessage());
+        MALFORMED.warn(service + ": unreadable answer", e.getMessage());
         then.take(0, null);
         return;
       }
--- a/src/main/java/io/tansystack/jobs/JobHealthMonitor.java
+++ b/src/main/java/io/tansystack/jobs/JobHealthMonitor.java
@@ -89,22 +89,22 @@
     if (last == null
         || last.done != record.done().size()
         || last.attempt != record.attempt()
-        || last.placed != record.placedCount()) {
+        || last.placed != record.placedTaskCount()) {
       progress.put(
           job.id(),
-          new Progress(record.done().size(), record.attempt(), record.placedCount(), now));
+          new Progress(record.done().size(), record.attempt(), record.placedTaskCount(), now));
       return;
     }
     Duration unchangedFor = now.minus(last.since);
-    if (record.placedCount() == 0 && unchangedFor.compareTo(STUCK_AFTER.dividedBy(2)) > 0) {
+    if (record.placedTaskCount() == 0 && unchangedFor.compareTo(STUCK_AFTER.dividedBy(2)) > 0) {
       warn(
           job,
           hasUnmetDemand.test(job.id()) ? "no-machine" : "waiting",
           "no task has been placed for " + unchangedFor.toSeconds() + " s");
     }
     double expectedS = spec.estimateS() * 4 + STUCK_AFTER.toSeconds();
-    if (spec.shape() != JobKind.SERVICE
-        && record.placedCount() > 0
+    if (spec.kind() != JobKind.SERVICE
+        && record.placedTaskCount() > 0
         && unchangedFor.toSeconds() > expectedS) {
       warn(job, "stuck", "no task has ended or started for " + unchangedFor.toSeconds() + " s");
     }
--- a/src/main/java/io/tansystack/jobs/JobLookup.java
+++ b/src/main/java/io/tansystack/jobs/JobLookup.java
@@ -152,7 +152,7 @@
       JobRecord.Phase phase = record.active() ? clusterState.finalPhase(id) : null;
       callback.found(phase == null ? record : JobRecord.outcome(phase), change.version());
     } catch (InvalidMessageException e) {
-      invalidMessages.tell("record of job=" + id, e.getMessage());
+      invalidMessages.warn("record of job=" + id, e.getMessage());
       callback.unavailable("the record is unreadable");
     }
   }
--- a/src/main/java/io/tansystack/jobs/JobStateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/JobStateBuilder.java
@@ -60,7 +60,7 @@
             && coverage.covers(spec);
     // Tasks of a service never complete, so failures alone do not show that a service is faulty.
     boolean suspected =
-        failures.isSuspected(id) && record.done().isEmpty() && spec.shape() != JobKind.SERVICE;
+        failures.isSuspected(id) && record.done().isEmpty() && spec.kind() != JobKind.SERVICE;
     return new JobState(
         id,
         record,
@@ -69,6 +69,6 @@
         suspected,
         record.active() ? deadlines.missedObjectives(record, wallMs) : 0,
         failures.excludedMachines(id, now),
-        record.untouched() && ageMs >= DUE_AFTER.toMillis());
+        record.neverPlaced() && ageMs >= DUE_AFTER.toMillis());
   }
 }
--- a/src/main/java/io/tansystack/jobs/JobUpdateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/JobUpdateBuilder.java
@@ -136,7 +136,7 @@
     if (places) {
       next = next.placed(assignments);
     }
-    if (!sizeLimit.allows(next)) {
+    if (!sizeLimit.fits(next)) {
       // Evictions that split placements in two have made the record too long to be written. It
       // shrinks as the evicted tasks end.
       next = effective;
@@ -149,7 +149,7 @@
     JobRecord next = record;
     for (Plan.Eviction eviction : plan.evictions().getOrDefault(id, List.of())) {
       next =
-          next.spec().shape() == JobKind.GANG
+          next.spec().kind() == JobKind.GANG
               ? next.allStopped()
               : next.stopped(eviction.machine(), eviction.tasks());
     }
@@ -167,9 +167,9 @@
     JobRecord next = record;
     for (Placement p : record.placements()) {
       MachineView view = views.apply(p.machine());
-      if (!p.stop() && view != null && view.report().noticeS() != null) {
+      if (!p.stop() && view != null && view.report().reclaimNoticeS() != null) {
         next =
-            record.spec().shape() == JobKind.GANG
+            record.spec().kind() == JobKind.GANG
                 ? next.allStopped()
                 : next.stopped(p.machine(), p.tasks());
       }
--- a/src/main/java/io/tansystack/jobs/MachineStateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/MachineStateBuilder.java
@@ -69,7 +69,7 @@
             && clusterState.alive(record.owner())
             && view.token() == clusterState.token(record)
             && view.report().token() > 0 // Else the only report may be a delayed copy.
-            && view.report().noticeS() == null
+            && view.report().reclaimNoticeS() == null
             && !view.responsesLost()
             && view.silentMs() < maxSilentMs;
     return new MachineState(
--- a/src/main/java/io/tansystack/jobs/PlanWriter.java
+++ b/src/main/java/io/tansystack/jobs/PlanWriter.java
@@ -204,7 +204,7 @@
   /** Returns after how long the update may be written; negative if it may be written now. */
   private Duration dueIn(JobUpdate update) {
     Duration last = lastWrite.get(update.job().id());
-    if (update.spec().shape() != JobKind.ARRAY || update.ends() || last == null) {
+    if (update.spec().kind() != JobKind.ARRAY || update.ends() || last == null) {
       return Duration.ofNanos(-1);
     }
     return last.plus(update.places() ? placementInterval(update) : progressInterval)
@@ -225,8 +225,8 @@
 
   /** Small rounds of a running array wait longer: capacity becomes free for it task by task. */
   private Duration placementInterval(JobUpdate update) {
-    int running = update.job().record().placedCount();
-    int added = update.next().placedCount() - running;
+    int running = update.job().record().placedTaskCount();
+    int added = update.next().placedTaskCount() - running;
     return added * SMALL_ROUND_DIVISOR < running
         ? arrayInterval.multipliedBy(SMALL_ROUND_INTERVALS)
         : arrayInterval;
@@ -241,7 +241,7 @@
     long arrays =
         schedulingState.effective().values().stream()
             .filter(
-                r -> r.active() && r.spec().shape() == JobKind.ARRAY && !r.placements().isEmpty())
+                r -> r.active() && r.spec().kind() == JobKind.ARRAY && !r.placements().isEmpty())
             .count();
     Duration interval =
         Duration.ofMillis((long) (arrays * 1000 / (writesPerSecond * PROGRESS_SHARE)));
@@ -307,12 +307,12 @@
           teamWrites + update.conditions().stream().filter(k -> !keys.contains(k.key())).count();
       return writes + teamWrites <= Math.min(availableWrites, maxWrites)
           && conditions.size() + addedConditions <= maxConditions
-          && bytes + sizeLimit.longest(update.next()) <= MAX_BYTES;
+          && bytes + sizeLimit.maxSize(update.next()) <= MAX_BYTES;
     }
 
     void add(JobUpdate update) {
       updates.add(update);
-      bytes += sizeLimit.longest(update.next());
+      bytes += sizeLimit.maxSize(update.next());
       for (Condition condition : update.conditions()) {
         if (keys.add(condition.key())) {
           conditions.add(condition);
--- a/src/main/java/io/tansystack/jobs/ReclaimNotices.java
+++ b/src/main/java/io/tansystack/jobs/ReclaimNotices.java
@@ -17,7 +17,7 @@
 
   /** Updates the notice of a machine from its newest view. */
   void observe(MachineView view) {
-    if (view.report().noticeS() != null) {
+    if (view.report().reclaimNoticeS() != null) {
       machines.add(view.report().machine());
     } else {
       machines.remove(view.report().machine());
--- a/src/main/java/io/tansystack/jobs/SchedulingState.java
+++ b/src/main/java/io/tansystack/jobs/SchedulingState.java
@@ -275,7 +275,7 @@
       if (slotManager.holds(job.slot())) {
         recordOutcomes(id, found);
       }
-      record = record.absorbed(found.ended());
+      record = record.withProofsApplied(found.ended());
     }
     JobRecord before = effective.put(id, record);
     if (before == null || (before.spec() == null) != (record.spec() == null)) {
--- a/src/main/java/io/tansystack/jobs/SubmissionHandler.java
+++ b/src/main/java/io/tansystack/jobs/SubmissionHandler.java
@@ -69,12 +69,12 @@
       reply.send(400, Responses.error(e.getMessage()));
       return;
     }
-    if (!JobSpec.validId(id)) {
+    if (!JobSpec.isValidId(id)) {
       reply.send(400, Responses.error("Uid: not of the form wk-000412"));
       return;
     }
     if (clusterState.finalPhase(id) != null) {
-      reply.send(200, Responses.job(id, clusterState.finalPhase(id).state()));
+      reply.send(200, Responses.jobStatus(id, clusterState.finalPhase(id).status()));
       return;
     }
     JobSpec spec;
@@ -94,7 +94,7 @@
       return;
     }
     String reason = whyImpossible(spec, settings.team(spec.team()), knownTypes);
-    if (reason == null && spec.shape() != JobKind.ARRAY) {
+    if (reason == null && spec.kind() != JobKind.ARRAY) {
       reason = whyUnrecordable(spec, knownTypes);
     }
     if (reason != null) {
@@ -114,10 +114,10 @@
                   "accepted job={} class={} shape={} priority={} tasks={}",
                   id,
                   spec.jobClass(),
-                  spec.shape(),
+                  spec.kind(),
                   spec.priority(),
                   spec.tasks());
-              reply.send(201, Responses.job(id, JobStatus.PENDING));
+              reply.send(201, Responses.jobStatus(id, JobStatus.PENDING));
             }
             case CONFLICT -> answerIfKnown(id, 0, null, reply);
             default -> reply.sendUnavailable("the state service did not confirm");
@@ -143,10 +143,10 @@
       return "a task fits no allowed machine type";
     }
     int usableZones = spec.sameZone() ? 1 : zones.size();
-    if (spec.shape() == JobKind.GANG && (long) spec.zoneCap() * usableZones < spec.tasks()) {
+    if (spec.kind() == JobKind.GANG && (long) spec.maxTasksPerZone() * usableZones < spec.tasks()) {
       return "Scatter: a gang's tasks must run at the same time, but may not all be in one zone";
     }
-    int concurrentTasks = spec.shape() == JobKind.ARRAY ? 1 : spec.tasks();
+    int concurrentTasks = spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
     if ((team.cpusMax() > 0 && spec.cpus() * concurrentTasks > team.cpusMax() + 1e-6)
         || (team.gpusMax() > 0 && spec.gpus() * concurrentTasks > team.gpusMax() + 1e-6)) {
       return "needs more than the team's limit";
@@ -165,8 +165,8 @@
           Math.max(maxPerMachine, spec.allowsType(type.name()) ? type.capacityFor(spec) : 0);
     }
     int machines = (spec.tasks() + maxPerMachine - 1) / maxPerMachine;
-    int maxMachines = sizeLimit.placedAtOnce(spec);
-    if (spec.shape() == JobKind.GANG) {
+    int maxMachines = sizeLimit.maxPlacementsAfterRound(spec);
+    if (spec.kind() == JobKind.GANG) {
       maxMachines = Math.min(maxMachines, settings.store().txnOps() * 2);
     }
     return machines <= maxMachines
@@ -193,7 +193,7 @@
         new LookupCallback() {
           @Override
           public void found(JobRecord record, long version) {
-            reply.send(200, Responses.job(id, record.state()));
+            reply.send(200, Responses.jobStatus(id, record.status()));
           }
 
           @Override
--- a/src/main/java/io/tansystack/jobs/UserApi.java
+++ b/src/main/java/io/tansystack/jobs/UserApi.java
@@ -117,7 +117,7 @@
    * use up the state service's request limit.
    */
   public void poll(String id, Reply reply) {
-    if (!JobSpec.validId(id)) {
+    if (!JobSpec.isValidId(id)) {
       reply.send(404, Cbor.encode(Responses.error("no such job")));
       return;
     }
@@ -131,7 +131,7 @@
           Job job = clusterState.job(id);
           if (clusterState.finalPhase(id) != null) {
             trackedReply.send(
-                200, Responses.progress(id, clusterState.finalPhase(id).state(), 0, 0));
+                200, Responses.jobProgress(id, clusterState.finalPhase(id).status(), 0, 0));
           } else if (job != null && upToDate) {
             sendProgress(id, job.record(), trackedReply);
           } else {
@@ -152,7 +152,7 @@
   private boolean answerIfFinal(String id, Reply reply) {
     JobRecord.Phase phase = clusterState.finalPhase(id);
     if (phase != null) {
-      reply.send(200, Cbor.encode(Responses.progress(id, phase.state(), 0, 0)));
+      reply.send(200, Cbor.encode(Responses.jobProgress(id, phase.status(), 0, 0)));
     }
     return phase != null;
   }
@@ -179,21 +179,21 @@
   private static void sendProgress(String id, JobRecord record, TrackedReply reply) {
     reply.send(
         200,
-        Responses.progress(
+        Responses.jobProgress(
             id,
-            record.state(),
+            record.status(),
             record.done().size(),
-            record.active() ? record.placedCount() : 0));
+            record.active() ? record.placedTaskCount() : 0));
   }
 
   /** Serves {@code POST /v1/jobs/ID/abort}. */
   public void abort(String id, Reply reply) {
-    if (!JobSpec.validId(id)) {
+    if (!JobSpec.isValidId(id)) {
       reply.send(404, Cbor.encode(Responses.error("no such job")));
       return;
     }
     if (clusterState.finalPhase(id) != null) {
-      reply.send(200, Cbor.encode(Responses.job(id, clusterState.finalPhase(id).state())));
+      reply.send(200, Cbor.encode(Responses.jobStatus(id, clusterState.finalPhase(id).status())));
       return;
     }
     if (!rejectIfUnavailable(reply)) {
@@ -216,7 +216,7 @@
             if (record.active()) {
               cancel(id, record, version, tries, reply);
             } else {
-              reply.send(200, Responses.job(id, record.state()));
+              reply.send(200, Responses.jobStatus(id, record.status()));
             }
           }
         });
@@ -231,8 +231,8 @@
         (result, revision) -> {
           switch (result) {
             case DONE -> {
-              log.info("cancelled job={} placed={}", id, record.placedCount());
-              reply.send(200, Responses.job(id, JobStatus.CANCELLED));
+              log.info("cancelled job={} placed={}", id, record.placedTaskCount());
+              reply.send(200, Responses.jobStatus(id, JobStatus.CANCELLED));
             }
             case CONFLICT -> tryCancel(id, tries - 1, reply);
             default -> reply.sendUnavailable("the state service did not confirm");
--- a/src/main/java/io/tansystack/peers/PeerLink.java
+++ b/src/main/java/io/tansystack/peers/PeerLink.java
@@ -226,7 +226,7 @@
             try {
               applyStatus(link, FieldReader.map(msgpack.readTree(answer), "answer"));
             } catch (IOException | InvalidMessageException e) {
-              invalidMessages.tell(
+              invalidMessages.warn(
                   "peer link: unreadable response of " + link.peer.label(), e.getMessage());
             }
             if (!link.pending.isEmpty()) {
@@ -321,7 +321,7 @@
       }
       reply.send(200, encode(status(canSchedule.getAsBoolean())));
     } catch (IOException | InvalidMessageException | RuntimeException e) {
-      invalidMessages.tell("peer link: unreadable message", e.getMessage());
+      invalidMessages.warn("peer link: unreadable message", e.getMessage());
       reply.send(400, new byte[0]);
     }
   }
--- a/src/main/java/io/tansystack/records/JobRecord.java
+++ b/src/main/java/io/tansystack/records/JobRecord.java
@@ -17,12 +17,18 @@
 import java.util.Map;
 
 /**
- * A job as the state service keeps it. Every change is a pure function of the record and of proofs,
- * so that a compare-and-set on its version is enough to keep it right, whoever writes it. A job that
- * is over and has no placement left keeps its outcome alone ({@code spec} null).
+ * A job as the state service stores it. Every change is a pure function of the record and of
+ * termination proofs, so that a compare-and-set on the record's version is enough to keep it
+ * correct, whichever controller writes it. Once a job is finished and has no placement left, only
+ * its outcome is kept ({@code spec} is null).
  *
- * @param cancelledMs the time of day at which whoever cancelled it sent that to the state service; 0 if it
- *     wasn't cancelled, or nobody said when
+ * @param spec the job's specification; null in an outcome
+ * @param submittedMs the time at which the job was accepted, in milliseconds since the epoch
+ * @param done the tasks that have completed
+ * @param attempt the number of the last placement round; 0 if there was none
+ * @param cancelledMs the time at which the controller that cancelled the job sent the cancellation to
+ *     the state service, in milliseconds since the epoch; 0 if the job wasn't cancelled or the time
+ *     isn't recorded
  */
 public record JobRecord(
     JobSpec spec,
@@ -33,93 +39,110 @@
     List<Placement> placements,
     long cancelledMs) {
 
-  /** Where a job is in its life; the last two are for ever. */
+  /** The phase of a job; DONE and CANCELLED are final. */
   public enum Phase {
     ACTIVE("active"),
     DONE("done"),
     CANCELLED("cancelled");
 
-    final String text;
+    /** The name in stored records. */
+    final String storedName;
 
-    Phase(String text) {
-      this.text = text;
+    Phase(String storedName) {
+      this.storedName = storedName;
     }
 
-    /** What users are told of a job in a final phase. */
-    public JobStatus state() {
+    /** The status that users see of a job in this phase, which must be a final one. */
+    public JobStatus status() {
       return this == DONE ? JobStatus.DONE : JobStatus.CANCELLED;
     }
   }
 
-  /** Proof that one attempt of a task on a machine is over; {@code done} if it completed. */
+  /**
+   * Proof that one attempt of a task does not run on a machine any more.
+   *
+   * @param done whether the task completed
+   */
   public record EndedAttempt(int task, long attempt, String machine, boolean done) {}
 
-  /** One machine's part of a placement round. */
+  /** The tasks that a placement round assigns to a machine in a session of its worker. */
   public record Assignment(String machine, long session, TaskSet tasks) {}
 
+  /** The record of a job that has just been accepted. */
   public static JobRecord created(JobSpec spec, long nowMs) {
     return new JobRecord(spec, nowMs, Phase.ACTIVE, TaskSet.EMPTY, 0, List.of(), 0);
   }
 
-  /** What is left of a job that is over. */
+  /** The record of a finished job, without times. */
   public static JobRecord outcome(Phase phase) {
     return new JobRecord(null, 0, phase, TaskSet.EMPTY, 0, List.of(), 0);
   }
 
-  private JobRecord with(List<Placement> placed) {
-    return new JobRecord(spec, submittedMs, phase, done, attempt, List.copyOf(placed), cancelledMs);
+  private JobRecord withPlacements(List<Placement> newPlacements) {
+    return new JobRecord(
+        spec, submittedMs, phase, done, attempt, List.copyOf(newPlacements), cancelledMs);
   }
 
   public boolean active() {
     return phase == Phase.ACTIVE;
   }
 
-  /** Whether nobody has acted on it since it was accepted. */
-  public boolean untouched() {
+  /** Whether the job is still active and no task of it has ever been placed. */
+  public boolean neverPlaced() {
     return active() && attempt == 0;
   }
 
+  /** Cancels the job. Its placements remain until their tasks are proven to have ended. */
   public JobRecord cancelled(long nowMs) {
-    return new JobRecord(spec, submittedMs, Phase.CANCELLED, done, attempt, placements, nowMs).shrunk();
+    return new JobRecord(spec, submittedMs, Phase.CANCELLED, done, attempt, placements, nowMs)
+        .outcomeIfFinished();
   }
 
-  private JobRecord shrunk() {
+  /** Reduces the record to its outcome if the job is finished and has no placement left. */
+  private JobRecord outcomeIfFinished() {
     if (active() || !placements.isEmpty()) {
       return this;
     }
     return new JobRecord(null, submittedMs, phase, TaskSet.EMPTY, 0, List.of(), 0);
   }
 
-  /** Adds a round of placements under the next attempt number. */
+  /** Adds the placements of one round under the next attempt number. */
   public JobRecord placed(Collection<Assignment> round) {
-    List<Placement> next = new ArrayList<>(placements);
-    for (Assignment part : round) {
-      next.add(new Placement(part.machine, part.session, attempt + 1, part.tasks, false));
+    List<Placement> newPlacements = new ArrayList<>(placements);
+    for (Assignment assignment : round) {
+      newPlacements.add(
+          new Placement(
+              assignment.machine, assignment.session, attempt + 1, assignment.tasks, false));
     }
-    return new JobRecord(spec, submittedMs, phase, done, attempt + 1, List.copyOf(next), cancelledMs);
+    return new JobRecord(
+        spec, submittedMs, phase, done, attempt + 1, List.copyOf(newPlacements), cancelledMs);
   }
 
-  /** Marks tasks as no longer wanted where they are. */
+  /**
+   * Marks the given tasks on a machine as to be stopped. A placement of which only some tasks are
+   * meant is split in two.
+   */
   public JobRecord stopped(String machine, TaskSet tasks) {
-    List<Placement> next = new ArrayList<>();
+    List<Placement> newPlacements = new ArrayList<>();
     for (Placement p : placements) {
-      BitSet hit = p.tasks().toBits();
-      hit.and(tasks.toBits());
-      if (p.stop() || !p.machine().equals(machine) || hit.isEmpty()) {
-        next.add(p);
+      BitSet toStop = p.tasks().toBitSet();
+      toStop.and(tasks.toBitSet());
+      if (p.stop() || !p.machine().equals(machine) || toStop.isEmpty()) {
+        newPlacements.add(p);
         continue;
       }
-      BitSet rest = p.tasks().toBits();
-      rest.andNot(hit);
+      BitSet rest = p.tasks().toBitSet();
+      rest.andNot(toStop);
       if (!rest.isEmpty()) {
-        next.add(p.withTasks(TaskSet.of(rest)));
+        newPlacements.add(p.withTasks(TaskSet.of(rest)));
       }
-      next.add(new Placement(p.machine(), p.session(), p.attempt(), TaskSet.of(hit), true));
+      newPlacements.add(
+          new Placement(p.machine(), p.session(), p.attempt(), TaskSet.of(toStop), true));
     }
-    return with(next);
+    return withPlacements(newPlacements);
   }
 
-  /** Marks every placement as no longer wanted: a gang lives or ends as a whole. */
+  /** Marks every placement as to be stopped; the tasks of a gang run together or not at all. */
   public JobRecord allStopped() {
     JobRecord record = this;
     for (Placement p : placements) {
@@ -129,70 +152,84 @@
   }
 
   /**
-   * Takes in proofs. A proof that matches no placement changes nothing, so repeated and late ones do
-   * no harm. The job becomes done only here, when its last task has completed.
+   * Removes the tasks that are proven to have ended from their placements. A proof that matches no
+   * placement changes nothing, so repeated and late proofs are harmless. Only this method makes a
+   * job DONE, once its last task has completed.
+   *
+   * <p>The tasks of a gang complete together: if one has completed, the job is done; if one has
+   * ended otherwise, all the others are stopped. A task of a service never completes; once it has
+   * ended, it is just unplaced.
    */
-  public JobRecord absorbed(Collection<EndedAttempt> proofs) {
-    Map<String, BitSet> over = new HashMap<>();
-    BitSet nowDone = done.toBits();
+  public JobRecord withProofsApplied(Collection<EndedAttempt> proofs) {
+    Map<String, BitSet> endedTasks = new HashMap<>();
+    BitSet doneTasks = done.toBitSet();
     boolean gangDone = false;
-    boolean gangBroken = false;
+    boolean gangFailed = false;
     for (EndedAttempt proof : proofs) {
-      if (!holds(proof.machine, proof.attempt, proof.task)) {
+      if (!hasPlacement(proof.machine, proof.attempt, proof.task)) {
         continue;
       }
-      over.computeIfAbsent(key(proof.machine, proof.attempt), k -> new BitSet()).set(proof.task);
-      if (active() && spec.shape() != JobKind.SERVICE) {
+      endedTasks
+          .computeIfAbsent(placementKey(proof.machine, proof.attempt), k -> new BitSet())
+          .set(proof.task);
+      if (active() && spec.kind() != JobKind.SERVICE) {
         if (proof.done) {
-          nowDone.set(proof.task);
-          gangDone = spec.shape() == JobKind.GANG;
+          doneTasks.set(proof.task);
+          gangDone = spec.kind() == JobKind.GANG;
         } else {
-          gangBroken = spec.shape() == JobKind.GANG;
+          gangFailed = spec.kind() == JobKind.GANG;
         }
       }
     }
-    if (over.isEmpty()) {
+    if (endedTasks.isEmpty()) {
       return this;
     }
-    List<Placement> left = new ArrayList<>();
+    List<Placement> remaining = new ArrayList<>();
     for (Placement p : placements) {
-      BitSet gone = over.get(key(p.machine(), p.attempt()));
-      if (gone == null) {
-        left.add(p);
+      BitSet ended = endedTasks.get(placementKey(p.machine(), p.attempt()));
+      if (ended == null) {
+        remaining.add(p);
         continue;
       }
-      BitSet rest = p.tasks().toBits();
-      rest.andNot(gone);
+      BitSet rest = p.tasks().toBitSet();
+      rest.andNot(ended);
       if (!rest.isEmpty()) {
-        left.add(p.withTasks(TaskSet.of(rest)));
+        remaining.add(p.withTasks(TaskSet.of(rest)));
       }
     }
     if (gangDone) {
-      nowDone.set(0, spec.tasks());
+      doneTasks.set(0, spec.tasks());
     }
-    Phase next = phase;
-    if (active() && spec.shape() != JobKind.SERVICE && nowDone.cardinality() >= spec.tasks()) {
-      next = Phase.DONE;
+    Phase nextPhase = phase;
+    if (active() && spec.kind() != JobKind.SERVICE && doneTasks.cardinality() >= spec.tasks()) {
+      nextPhase = Phase.DONE;
     }
     JobRecord result =
         new JobRecord(
-            spec, submittedMs, next, TaskSet.of(nowDone), attempt, List.copyOf(left), cancelledMs);
-    if (gangBroken && result.active()) {
+            spec,
+            submittedMs,
+            nextPhase,
+            TaskSet.of(doneTasks),
+            attempt,
+            List.copyOf(remaining),
+            cancelledMs);
+    if (gangFailed && result.active()) {
       result = result.allStopped();
     }
-    return result.shrunk();
+    return result.outcomeIfFinished();
   }
 
-  private static String key(String machine, long attempt) {
+  private static String placementKey(String machine, long attempt) {
     return machine + "#" + attempt;
   }
 
   /** Whether this attempt of the task may exist on the machine. */
-  public boolean holds(String machine, long attempt, int task) {
-    return find(machine, attempt, task) != null;
+  public boolean hasPlacement(String machine, long attempt, int task) {
+    return findPlacement(machine, attempt, task) != null;
   }
 
-  public Placement find(String machine, long attempt, int task) {
+  /** The placement that contains this attempt of the task; null if there is none. */
+  public Placement findPlacement(String machine, long attempt, int task) {
     for (Placement p : placements) {
       if (p.attempt() == attempt && p.machine().equals(machine) && p.tasks().contains(task)) {
         return p;
@@ -201,18 +238,19 @@
     return null;
   }
 
-  /** Tasks that are neither done nor may exist anywhere. */
+  /** The tasks that are neither done nor in any placement. */
   public TaskSet unplaced() {
     BitSet bits = new BitSet(spec.tasks());
     bits.set(0, spec.tasks());
-    bits.andNot(done.toBits());
+    bits.andNot(done.toBitSet());
     for (Placement p : placements) {
-      bits.andNot(p.tasks().toBits());
+      bits.andNot(p.tasks().toBitSet());
     }
     return TaskSet.of(bits);
   }
 
-  public int placedCount() {
+  /** The number of tasks in all placements, those to be stopped included. */
+  public int placedTaskCount() {
     int count = 0;
     for (Placement p : placements) {
       count += p.tasks().size();
@@ -220,9 +258,10 @@
     return count;
   }
 
-  public JobStatus state() {
+  /** The status that users see. */
+  public JobStatus status() {
     if (!active()) {
-      return phase.state();
+      return phase.status();
     }
     return placements.isEmpty() ? JobStatus.PENDING : JobStatus.RUNNING;
   }
@@ -231,34 +270,39 @@
     return read(map, null);
   }
 
-  /** @param known the job's specification if it is known; it never changes and need not be read again */
-  public static JobRecord read(ObjectNode map, JobSpec known) throws InvalidMessageException {
+  /**
+   * Reads a stored record.
+   *
+   * @param knownSpec the job's specification if it has been read before, otherwise null; a
+   *     specification never changes, so it isn't parsed again
+   */
+  public static JobRecord read(ObjectNode map, JobSpec knownSpec) throws InvalidMessageException {
     Phase phase = null;
-    String text = FieldReader.text(map, "phase");
+    String phaseName = FieldReader.text(map, "phase");
     for (Phase candidate : Phase.values()) {
-      if (candidate.text.equals(text)) {
+      if (candidate.storedName.equals(phaseName)) {
         phase = candidate;
       }
     }
     if (phase == null) {
       throw new InvalidMessageException("phase: unknown value");
     }
-    long at = FieldReader.integer(map, "at");
+    long submittedMs = FieldReader.integer(map, "at");
     if (!FieldReader.has(map, "spec")) {
       if (phase == Phase.ACTIVE) {
         throw new InvalidMessageException("spec: missing");
       }
-      return new JobRecord(null, at, phase, TaskSet.EMPTY, 0, List.of(), 0);
+      return new JobRecord(null, submittedMs, phase, TaskSet.EMPTY, 0, List.of(), 0);
     }
     List<Placement> placements = new ArrayList<>();
     for (JsonNode node : FieldReader.list(map, "placed")) {
       placements.add(Placement.read(node));
     }
     return new JobRecord(
-        known != null ? known : JobSpec.read(FieldReader.map(map, "spec")),
-        at,
+        knownSpec != null ? knownSpec : JobSpec.read(FieldReader.map(map, "spec")),
+        submittedMs,
         phase,
-        Placement.tasks(map, "done"),
+        Placement.readTasks(map, "done"),
         FieldReader.integer(map, "attempt"),
         List.copyOf(placements),
         FieldReader.has(map, "cancelledAt") ? FieldReader.integer(map, "cancelledAt") : 0);
@@ -266,7 +310,7 @@
 
   public ObjectNode write() {
     ObjectNode map = Cbor.map();
-    map.put("phase", phase.text).put("at", submittedMs);
+    map.put("phase", phase.storedName).put("at", submittedMs);
     if (spec != null) {
       map.set("spec", spec.write());
       map.put("done", done.toString()).put("attempt", attempt);
--- a/src/main/java/io/tansystack/records/RecordSizeLimit.java
+++ b/src/main/java/io/tansystack/records/RecordSizeLimit.java
@@ -4,62 +4,84 @@
 import io.tansystack.wire.JobSpec;
 
 /**
- * What a job's record may hold, so that it fits into one value at every moment of its life. Each task
- * number is written at most once, in the done set or in a placement, however scattered the ends are;
- * what else grows is the number of placements, one for each machine and round, and one more where a
- * part of it is stopped.
+ * Limits what a job's record may contain, so that it fits into one value of the state service at
+ * every moment of the job's life. Each task index is written at most once, in the set of done tasks
+ * or in a placement, in whatever order the tasks end. The only other part that grows is the number
+ * of placements: one for each machine and placement round, and one more where some tasks of a
+ * placement are stopped, which splits it in two.
  *
- * @param valueBytes the state service's limit, measured in JSON
+ * <p>All sizes are in characters of the JSON form, in which the state service states its limit.
+ *
+ * @param valueBytes the largest value that the state service stores
  */
 public record RecordSizeLimit(int valueBytes) {
-  /** Session, attempt, a last word, and what stands between, of each placement. */
+  /**
+   * Size of a placement without its machine name and tasks: session, attempt, the stop suffix and
+   * the separators.
+   */
   private static final int PLACEMENT_CHARS = 28;
 
-  /** A machine's name is seldom longer; where it is, the record holds fewer placements. */
-  private static final int NAME_CHARS = 16;
+  /** Machine names are seldom longer. Where they are, fewer placements fit. */
+  private static final int MACHINE_NAME_CHARS = 16;
 
-  /** An array's tasks are placed inside a moving window, so that its done set stays nearly a prefix. */
-  public int window() {
+  /**
+   * The number of tasks in the sliding window of an array job: only tasks inside it are placed, so
+   * that the set of done tasks stays nearly a prefix and its written form stays short.
+   */
+  public int taskWindow() {
     return valueBytes / 16;
   }
 
-  /** The longest description that is accepted. */
-  public int description() {
+  /** The largest job specification that is accepted. */
+  public int maxSpecSize() {
     return valueBytes / 8;
   }
 
-  /** What the numbers of the job's tasks may take up, each with a comma: small jobs have short ones. */
-  private int numbers(JobSpec spec) {
+  /**
+   * The most that the task indices of the job can take up, each with a comma. The indices of small
+   * jobs have fewer digits.
+   */
+  private int taskIndicesSize(JobSpec spec) {
     int digits = Integer.toString(spec.tasks() - 1).length();
-    return Math.min(window(), spec.tasks()) * (digits + 1);
+    return Math.min(taskWindow(), spec.tasks()) * (digits + 1);
   }
 
-  private int placements(JobSpec spec) {
-    return (valueBytes - description() - numbers(spec)) / (PLACEMENT_CHARS + NAME_CHARS);
+  /** The number of placements that fit beside the specification and the task indices. */
+  private int maxPlacements(JobSpec spec) {
+    return (valueBytes - maxSpecSize() - taskIndicesSize(spec))
+        / (PLACEMENT_CHARS + MACHINE_NAME_CHARS);
   }
 
-  /** So many placements may a round of the job leave behind; the rest is for those that stops split in two. */
-  public int placedAtOnce(JobSpec spec) {
-    return placements(spec) * 3 / 4;
+  /**
+   * The number of placements that the record may have after a placement round. The remaining
+   * quarter is reserved for placements that are split in two when some of their tasks are stopped.
+   */
+  public int maxPlacementsAfterRound(JobSpec spec) {
+    return maxPlacements(spec) * 3 / 4;
   }
 
+  /** Whether the specification is small enough for the job to be accepted. */
   public boolean accepts(JobSpec spec) {
-    return Cbor.jsonSize(spec.write()) <= description();
+    return Cbor.jsonSize(spec.write()) <= maxSpecSize();
   }
 
-  public boolean allows(JobRecord record) {
-    return longest(record) <= valueBytes;
+  /** Whether the record fits into one value, in whatever order its placed tasks end. */
+  public boolean fits(JobRecord record) {
+    return maxSize(record) <= valueBytes;
   }
 
-  /** The record is no longer than this, whatever ends first of what is placed. */
-  public int longest(JobRecord record) {
-    int length = description();
+  /**
+   * An upper bound of the record's size, which also holds for all later states in which some of its
+   * placed tasks have ended.
+   */
+  public int maxSize(JobRecord record) {
+    int size = maxSpecSize();
     if (record.spec() != null) {
-      length += numbers(record.spec());
+      size += taskIndicesSize(record.spec());
       for (Placement placement : record.placements()) {
-        length += placement.machine().length() + PLACEMENT_CHARS;
+        size += placement.machine().length() + PLACEMENT_CHARS;
       }
     }
-    return length;
+    return size;
   }
 }
--- a/src/main/java/io/tansystack/records/TaskSet.java
+++ b/src/main/java/io/tansystack/records/TaskSet.java
@@ -3,10 +3,13 @@
 import java.util.BitSet;
 import java.util.function.IntConsumer;
 
-/** An immutable set of task numbers, written as ranges such as {@code 0-5,7}. */
+/** An immutable set of task indices, written as ranges such as {@code 0-5,7}. */
 public final class TaskSet {
   public static final TaskSet EMPTY = new TaskSet(new BitSet());
 
+  /** The largest index that is read; it bounds the memory that a malformed text can take up. */
+  private static final int MAX_TASK = 1_000_000;
+
   private final BitSet bits;
   private final int size;
 
@@ -19,6 +22,7 @@
     return bits.isEmpty() ? EMPTY : new TaskSet((BitSet) bits.clone());
   }
 
+  /** The tasks from {@code from} (inclusive) to {@code to} (exclusive). */
   public static TaskSet range(int from, int to) {
     BitSet bits = new BitSet();
     bits.set(from, to);
@@ -26,24 +30,26 @@
   }
 
   /**
-   * Reads the written form; throws IllegalArgumentException if it is not one. Read in one go: every
-   * record and view that arrives holds dozens of these.
+   * Reads the written form. It is parsed in one pass, without splitting the text, because every
+   * record and every machine view that arrives holds dozens of task sets.
+   *
+   * @throws IllegalArgumentException if the text is not a task set
    */
   public static TaskSet parse(String text) {
     BitSet bits = new BitSet();
-    int at = 0;
-    while (at < text.length()) {
-      int comma = text.indexOf(',', at);
+    int start = 0;
+    while (start < text.length()) {
+      int comma = text.indexOf(',', start);
       int end = comma < 0 ? text.length() : comma;
-      int dash = text.indexOf('-', at);
-      boolean range = dash >= 0 && dash < end;
-      int from = Integer.parseInt(text, at, range ? dash : end, 10);
-      int to = range ? Integer.parseInt(text, dash + 1, end, 10) : from;
-      if (from < 0 || to < from || to > 1_000_000 || end == text.length() - 1) {
-        throw new IllegalArgumentException("bad range in " + text);
+      int dash = text.indexOf('-', start);
+      boolean isRange = dash >= 0 && dash < end;
+      int from = Integer.parseInt(text, start, isRange ? dash : end, 10);
+      int to = isRange ? Integer.parseInt(text, dash + 1, end, 10) : from;
+      if (from < 0 || to < from || to > MAX_TASK || end == text.length() - 1) {
+        throw new IllegalArgumentException("invalid task range in " + text);
       }
       bits.set(from, to + 1);
-      at = end + 1;
+      start = end + 1;
     }
     return bits.isEmpty() ? EMPTY : new TaskSet(bits);
   }
@@ -66,22 +72,25 @@
     }
   }
 
-  /** The lowest number not in the set. */
+  /** The lowest task index that is not in the set. */
   public int firstMissing() {
     return bits.nextClearBit(0);
   }
 
-  public int next(int from) {
+  /** The lowest task index in the set that is at least {@code from}; -1 if there is none. */
+  public int nextFrom(int from) {
     return bits.nextSetBit(from);
   }
 
+  /** A copy of this set that contains {@code task} too. */
   public TaskSet with(int task) {
-    BitSet result = toBits();
+    BitSet result = toBitSet();
     result.set(task);
     return of(result);
   }
 
-  public BitSet toBits() {
+  /** A copy that the caller may modify. */
+  public BitSet toBitSet() {
     return (BitSet) bits.clone();
   }
 
--- a/src/main/java/io/tansystack/schedule/AllocatedTasks.java
+++ b/src/main/java/io/tansystack/schedule/AllocatedTasks.java
@@ -35,7 +35,7 @@
   }
 
   boolean isService() {
-    return spec.shape() == JobKind.SERVICE;
+    return spec.kind() == JobKind.SERVICE;
   }
 
   /** The same tasks with another placement, after a part of them was stopped. */
--- a/src/main/java/io/tansystack/schedule/CapacityReclaimer.java
+++ b/src/main/java/io/tansystack/schedule/CapacityReclaimer.java
@@ -116,7 +116,7 @@
    * other jobs the machines that fit now have been tried already.
    */
   private Collection<MachineCapacity> releasingMachines(JobSpec spec, ResourceRequest request) {
-    if (spec.shape() != JobKind.GANG) {
+    if (spec.kind() != JobKind.GANG) {
       return clusterCapacity.releasing().values();
     }
     TreeMap<String, MachineCapacity> machines = new TreeMap<>(clusterCapacity.releasing());
--- a/src/main/java/io/tansystack/schedule/Consolidation.java
+++ b/src/main/java/io/tansystack/schedule/Consolidation.java
@@ -89,7 +89,7 @@
         if (capacity == null) {
           continue;
         }
-        if (spec.shape() == JobKind.SERVICE) {
+        if (spec.kind() == JobKind.SERVICE) {
           capacity.reserve(spec, placement.tasks().size());
           for (int i = 0; i < placement.tasks().size(); i++) {
             capacity.replicas.add(spec);
--- a/src/main/java/io/tansystack/schedule/Deadlines.java
+++ b/src/main/java/io/tansystack/schedule/Deadlines.java
@@ -50,7 +50,7 @@
    */
   public int missedObjectives(JobRecord record, long nowMs) {
     JobSpec spec = record.spec();
-    if (spec.deadlineS() == null || spec.deadlineS() <= 0 || spec.shape() == JobKind.SERVICE) {
+    if (spec.deadlineS() == null || spec.deadlineS() <= 0 || spec.kind() == JobKind.SERVICE) {
       return 0;
     }
     double ageS = (nowMs - record.submittedMs()) / 1000.0;
--- a/src/main/java/io/tansystack/schedule/JobQueueOrder.java
+++ b/src/main/java/io/tansystack/schedule/JobQueueOrder.java
@@ -59,7 +59,7 @@
   /** The queueing penalty of an array in milliseconds; 0 for other jobs. */
   private double penaltyMs(JobState job) {
     JobSpec spec = job.record().spec();
-    if (spec.shape() != JobKind.ARRAY) {
+    if (spec.kind() != JobKind.ARRAY) {
       return 0;
     }
     int remaining = spec.tasks() - job.record().done().size();
--- a/src/main/java/io/tansystack/schedule/Planner.java
+++ b/src/main/java/io/tansystack/schedule/Planner.java
@@ -139,15 +139,15 @@
   private void planJob(JobState job) {
     JobRecord record = job.record();
     JobSpec spec = record.spec();
-    if (!job.schedulable() || (spec.shape() == JobKind.GANG && !record.placements().isEmpty())) {
+    if (!job.schedulable() || (spec.kind() == JobKind.GANG && !record.placements().isEmpty())) {
       return; // A gang's next attempt starts only once its previous attempt has provably ended.
     }
     int wanted = placeableCount(record);
     int allowed = teamQuotas.allowance(spec);
-    if (wanted == 0 || allowed == 0 || (spec.shape() == JobKind.GANG && allowed < wanted)) {
+    if (wanted == 0 || allowed == 0 || (spec.kind() == JobKind.GANG && allowed < wanted)) {
       return; // Nothing is left to place, or the job waits for its team's quota, not for a machine.
     }
-    if (job.suspected() && spec.shape() != JobKind.GANG) {
+    if (job.suspected() && spec.kind() != JobKind.GANG) {
       allowed = record.placements().isEmpty() ? 1 : 0;
     }
     int maxTasks = Math.min(allowed, wanted);
@@ -191,7 +191,7 @@
     // Tasks left over because the round reached its machine limit are placed by the next round;
     // they lack no capacity.
     boolean machineLimitReached =
-        spec.shape() != JobKind.GANG && chosen.size() >= placer.maxMachinesPerRound(job);
+        spec.kind() != JobKind.GANG && chosen.size() >= placer.maxMachinesPerRound(job);
     if (!job.suspected()
         && !machineLimitReached
         && placed < maxTasks
@@ -206,18 +206,18 @@
    */
   private int placeableCount(JobRecord record) {
     boolean windowed =
-        record.spec().shape() == JobKind.ARRAY
-            && record.spec().tasks() > bounds.recordLimit.window();
+        record.spec().kind() == JobKind.ARRAY
+            && record.spec().tasks() > bounds.recordLimit.taskWindow();
     return windowed
         ? placeableTasks(record).cardinality()
-        : record.spec().tasks() - record.placedCount() - record.done().size();
+        : record.spec().tasks() - record.placedTaskCount() - record.done().size();
   }
 
   /** The job's unplaced tasks; for an array only those within the record's window. */
   private BitSet placeableTasks(JobRecord record) {
-    BitSet unplaced = record.unplaced().toBits();
-    if (record.spec().shape() == JobKind.ARRAY) {
-      int end = record.done().firstMissing() + bounds.recordLimit.window();
+    BitSet unplaced = record.unplaced().toBitSet();
+    if (record.spec().kind() == JobKind.ARRAY) {
+      int end = record.done().firstMissing() + bounds.recordLimit.taskWindow();
       unplaced.clear(end, Math.max(end, unplaced.length()));
     }
     return unplaced;
--- a/src/main/java/io/tansystack/schedule/Preemption.java
+++ b/src/main/java/io/tansystack/schedule/Preemption.java
@@ -169,7 +169,7 @@
 
   private void stop(MachineCapacity machine, Victim victim, JobState forJob) {
     Placement placement = victim.allocated.placement();
-    BitSet remaining = placement.tasks().toBits();
+    BitSet remaining = placement.tasks().toBitSet();
     BitSet tasks = new BitSet();
     // Tasks with the highest numbers of a placement usually started last, so they lose least work.
     for (int task = remaining.length() - 1, count = 0;
--- a/src/main/java/io/tansystack/schedule/RecordedTeamUsage.java
+++ b/src/main/java/io/tansystack/schedule/RecordedTeamUsage.java
@@ -32,7 +32,7 @@
   private void change(JobRecord record, int sign) {
     JobSpec spec = record.spec();
     Usage usage = usageByTeam.computeIfAbsent(spec.team(), k -> new Usage());
-    int tasks = sign * record.placedCount();
+    int tasks = sign * record.placedTaskCount();
     usage.cpus += tasks * Math.round(spec.cpus() * MILLION);
     usage.gpus += tasks * Math.round(spec.gpus() * MILLION);
     usage.jobs += sign;
--- a/src/main/java/io/tansystack/schedule/RentPlanner.java
+++ b/src/main/java/io/tansystack/schedule/RentPlanner.java
@@ -109,7 +109,7 @@
 
   private void rentFor(UnmetDemand demand) {
     JobSpec spec = demand.spec();
-    if (rentFor(spec, demand.tasks(), demand.tasksByZone()) || spec.shape() != JobKind.GANG) {
+    if (rentFor(spec, demand.tasks(), demand.tasksByZone()) || spec.kind() != JobKind.GANG) {
       return;
     }
     // None of the gang's tasks runs yet. If no machines can be rented for the remaining tasks that
@@ -163,7 +163,7 @@
       tasksByZone.merge(bin.offering.zone(), 1, Integer::sum);
     }
     boolean allPlaced = targets.size() == tasks;
-    if (allPlaced || spec.shape() != JobKind.GANG) {
+    if (allPlaced || spec.kind() != JobKind.GANG) {
       rented.forEach(bin -> rentals.merge(bin.offering, 1, Integer::sum));
     } else {
       targets.forEach(bin -> bin.release(spec));
@@ -209,7 +209,7 @@
   }
 
   private static boolean zoneAllowed(JobSpec spec, String zone, Map<String, Integer> tasksByZone) {
-    return tasksByZone.getOrDefault(zone, 0) < spec.zoneCap()
+    return tasksByZone.getOrDefault(zone, 0) < spec.maxTasksPerZone()
         && !(spec.sameZone() && !tasksByZone.isEmpty() && !tasksByZone.containsKey(zone));
   }
 
@@ -221,7 +221,7 @@
     double lowestPricePerTask = Double.MAX_VALUE;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name()) && type.capacityFor(spec) > 0) {
-        double price = spec.spotOk() ? Math.min(type.price(), type.spotPrice()) : type.price();
+        double price = spec.spotAllowed() ? Math.min(type.price(), type.spotPrice()) : type.price();
         lowestPricePerTask = Math.min(lowestPricePerTask, price / type.capacityFor(spec));
       }
     }
@@ -233,7 +233,7 @@
         continue;
       }
       for (String zone : type.zones()) {
-        for (boolean spot : spec.spotOk() ? new boolean[] {true, false} : new boolean[] {false}) {
+        for (boolean spot : spec.spotAllowed() ? new boolean[] {true, false} : new boolean[] {false}) {
           MachineOffering offering = new MachineOffering(type.name(), zone, spot);
           if (!allowed(spec, offering, tasksByZone) || blocked.test(offering)) {
             continue;
--- a/src/main/java/io/tansystack/schedule/ReplicaMoves.java
+++ b/src/main/java/io/tansystack/schedule/ReplicaMoves.java
@@ -73,7 +73,7 @@
       return;
     }
     for (JobState job : active) {
-      if (job.record().spec().shape() == JobKind.SERVICE) {
+      if (job.record().spec().kind() == JobKind.SERVICE) {
         jobs.put(job.id(), job);
       }
     }
@@ -125,7 +125,7 @@
     return job.schedulable()
         && !plan.placements().containsKey(job.id())
         && !plan.evictions().containsKey(job.id())
-        && record.placedCount() == record.spec().tasks()
+        && record.placedTaskCount() == record.spec().tasks()
         && record.placements().stream().noneMatch(Placement::stop);
   }
 
@@ -176,14 +176,14 @@
       if (target != source
           && !machinesToClear.contains(target)
           && !reservation.strandsAccelerators(spec, target)
-          && zones.getInt(target.state.zone()) < spec.zoneCap()) {
+          && zones.getInt(target.state.zone()) < spec.maxTasksPerZone()) {
         target.reserve(spec, 1);
         plan.evictions()
             .computeIfAbsent(job.id(), k -> new ArrayList<>())
             .add(
                 Eviction.move(
                     source.state.name(),
-                    TaskSet.EMPTY.with(allocated.placement().tasks().next(0)),
+                    TaskSet.EMPTY.with(allocated.placement().tasks().nextFrom(0)),
                     target.state.name()));
         return true;
       }
--- a/src/main/java/io/tansystack/schedule/ResourceRequest.java
+++ b/src/main/java/io/tansystack/schedule/ResourceRequest.java
@@ -18,7 +18,7 @@
 
   static ResourceRequest of(JobSpec spec) {
     return new ResourceRequest(
-        spec.cpus(), spec.gpus(), spec.memGb(), spec.types(), spec.zone(), spec.spotOk());
+        spec.cpus(), spec.gpus(), spec.memGb(), spec.types(), spec.zone(), spec.spotAllowed());
   }
 
   // Written by hand: requests are map keys that are looked up for every job, and the methods that
--- a/src/main/java/io/tansystack/schedule/Snapshot.java
+++ b/src/main/java/io/tansystack/schedule/Snapshot.java
@@ -135,7 +135,7 @@
     /** Whether the job of a record is active and has tasks that are neither placed nor done. */
     public static boolean hasUnplacedTasks(JobRecord record) {
       return record.active()
-          && record.placedCount() + record.done().size() < record.spec().tasks();
+          && record.placedTaskCount() + record.done().size() < record.spec().tasks();
     }
   }
 }
--- a/src/main/java/io/tansystack/schedule/TaskPlacer.java
+++ b/src/main/java/io/tansystack/schedule/TaskPlacer.java
@@ -40,7 +40,7 @@
   /** How many more placements the job's record can hold. */
   private int remainingPlacements(JobState job) {
     int existing = job.record().placements().size();
-    return Math.max(0, limit.placedAtOnce(job.record().spec()) - existing);
+    return Math.max(0, limit.maxPlacementsAfterRound(job.record().spec()) - existing);
   }
 
   /** How many machines a placement round of the job can use. */
@@ -54,12 +54,12 @@
    */
   boolean fitsOneTransaction(JobState job) {
     JobSpec spec = job.record().spec();
-    if (spec.shape() != JobKind.GANG) {
+    if (spec.kind() != JobKind.GANG) {
       return true;
     }
     int tasksPerMachine = clusterCapacity.maxTasksPerMachine(spec);
     return tasksPerMachine == 0
-        || (long) tasksPerMachine * Math.min(maxMachines, limit.placedAtOnce(spec)) >= spec.tasks();
+        || (long) tasksPerMachine * Math.min(maxMachines, limit.maxPlacementsAfterRound(spec)) >= spec.tasks();
   }
 
   /** Whether any machine fits one of the job's tasks, also if it is excluded or reserved. */
@@ -70,7 +70,7 @@
   /** Places as many of the tasks as possible; returns the tasks by the names of their machines. */
   Map<String, BitSet> place(JobState job, int[] tasks) {
     JobSpec spec = job.record().spec();
-    if (spec.shape() == JobKind.GANG) {
+    if (spec.kind() == JobKind.GANG) {
       return placeGang(job, tasks);
     }
     return ZoneConstraints.matterFor(spec) ? placeByZone(job, tasks) : placeAnywhere(job, tasks);
@@ -181,7 +181,7 @@
     if (tasks.length < spec.tasks()) {
       return Map.of();
     }
-    int machineLimit = Math.min(maxMachines, limit.placedAtOnce(spec));
+    int machineLimit = Math.min(maxMachines, limit.maxPlacementsAfterRound(spec));
     List<MachineCapacity> picks =
         pickFromBestGroup(spec, tasks.length, candidates.forGang(job, tasks.length), machineLimit);
     if (picks.isEmpty() && tasks.length > machineLimit) {
@@ -230,7 +230,7 @@
       String zone = machine.state.zone();
       int fits = machine.fits(spec);
       for (int k = 0; k < fits && picks.size() < tasks; k++) {
-        if (tasksByZone.getInt(zone) >= spec.zoneCap()) {
+        if (tasksByZone.getInt(zone) >= spec.maxTasksPerZone()) {
           break;
         }
         picks.add(machine);
--- a/src/main/java/io/tansystack/schedule/ZoneConstraints.java
+++ b/src/main/java/io/tansystack/schedule/ZoneConstraints.java
@@ -14,7 +14,7 @@
    * Whether the zones of the job's other tasks matter for where its next ones may or should run.
    */
   static boolean matterFor(JobSpec spec) {
-    return spec.shape() == JobKind.SERVICE || spec.scatter() || spec.sameZone();
+    return spec.kind() == JobKind.SERVICE || spec.spreadZones() || spec.sameZone();
   }
 
   /**
@@ -49,6 +49,6 @@
   static int remaining(JobSpec spec, Object2IntOpenHashMap<String> tasksByZone, String zone) {
     boolean boundToOtherZone =
         spec.sameZone() && !tasksByZone.isEmpty() && !tasksByZone.containsKey(zone);
-    return boundToOtherZone ? 0 : Math.max(0, spec.zoneCap() - tasksByZone.getInt(zone));
+    return boundToOtherZone ? 0 : Math.max(0, spec.maxTasksPerZone() - tasksByZone.getInt(zone));
   }
 }
--- a/src/main/java/io/tansystack/store/StoreClient.java
+++ b/src/main/java/io/tansystack/store/StoreClient.java
@@ -114,7 +114,7 @@
               return;
             }
           } catch (InvalidMessageException e) {
-            invalidMessages.tell("state service: unreadable response for " + key, e.getMessage());
+            invalidMessages.warn("state service: unreadable response for " + key, e.getMessage());
           }
           callback.failed();
         });
@@ -213,7 +213,7 @@
     request(
         "POST",
         "/commit",
-        StoreProtocol.txn(conditions, writes),
+        StoreProtocol.encodeTransaction(conditions, writes),
         TIMEOUT,
         (status, map) -> {
           switch (status) {
@@ -255,11 +255,11 @@
     request(
         "POST",
         "/grants",
-        StoreProtocol.grant(ttl.toMillis()),
+        StoreProtocol.encodeLeaseRequest(ttl.toMillis()),
         TIMEOUT,
         (status, map) -> {
           try {
-            callback.accept(status == 200 ? StoreProtocol.readGrant(map) : null);
+            callback.accept(status == 200 ? StoreProtocol.readLeaseId(map) : null);
           } catch (InvalidMessageException e) {
             callback.accept(null);
           }
--- a/src/main/java/io/tansystack/store/Watcher.java
+++ b/src/main/java/io/tansystack/store/Watcher.java
@@ -100,7 +100,7 @@
               upToDateListener.accept(sentAt);
             }
           } catch (InvalidMessageException e) {
-            invalidMessages.tell("state service: unreadable list", e.getMessage());
+            invalidMessages.warn("state service: unreadable list", e.getMessage());
           }
         });
   }
@@ -140,7 +140,7 @@
               Changes page = StoreProtocol.readList(map);
               pages.addAll(page.changes());
               long first = firstRevision < 0 ? page.revision() : firstRevision;
-              if (page.more() && !page.changes().isEmpty()) {
+              if (page.hasMore() && !page.changes().isEmpty()) {
                 load(pages, page.changes().get(page.changes().size() - 1).key(), first, startedAt);
               } else {
                 loadChangesSince(pages, first, startedAt);
@@ -152,7 +152,7 @@
             loop.after(RETRY, () -> load(pages, afterKey, firstRevision, startedAt));
             return;
           } catch (InvalidMessageException e) {
-            invalidMessages.tell("state service: unreadable list", e.getMessage());
+            invalidMessages.warn("state service: unreadable list", e.getMessage());
           }
           loop.after(RETRY, this::start);
         });
@@ -185,7 +185,7 @@
               return;
             }
           } catch (InvalidMessageException e) {
-            invalidMessages.tell("state service: unreadable watch", e.getMessage());
+            invalidMessages.warn("state service: unreadable watch", e.getMessage());
           }
           loop.after(RETRY, this::start);
         });
@@ -217,7 +217,7 @@
             }
           } catch (InvalidMessageException e) {
             // No change may be skipped, so everything is read again.
-            invalidMessages.tell("state service: unreadable watch", e.getMessage());
+            invalidMessages.warn("state service: unreadable watch", e.getMessage());
             loop.after(RETRY, this::start);
             return;
           }
--- a/src/main/java/io/tansystack/wire/Addresses.java
+++ b/src/main/java/io/tansystack/wire/Addresses.java
@@ -4,7 +4,10 @@
 import com.google.common.net.InetAddresses;
 import java.net.InetSocketAddress;
 
-/** Addresses as all interfaces write them: an IP number and a port. Names are never looked up. */
+/**
+ * Network addresses in the form that all interfaces use: an IP address and a port. Host names are
+ * rejected, so that none is ever looked up.
+ */
 public final class Addresses {
   private Addresses() {}
 
@@ -14,7 +17,7 @@
       return new InetSocketAddress(
           InetAddresses.forString(address.getHost()), address.getPort());
     } catch (IllegalArgumentException | IllegalStateException e) {
-      throw new InvalidMessageException("not an IP number and a port: " + text);
+      throw new InvalidMessageException("not an IP address and a port: " + text);
     }
   }
 }
--- a/src/main/java/io/tansystack/wire/Cbor.java
+++ b/src/main/java/io/tansystack/wire/Cbor.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import java.io.IOException;
 
-/** The body format of every published interface: CBOR maps keyed by text. */
+/** The body format of all published APIs: CBOR maps with text keys. */
 public final class Cbor {
   private static final CBORMapper MAPPER = new CBORMapper();
 
@@ -22,11 +22,11 @@
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree always encodes", e);
+      throw new IllegalStateException("a JSON tree could not be encoded as CBOR", e);
     }
   }
 
-  /** Decodes a body that has to be a map; anything else is bad input. */
+  /** Decodes a body that must be a CBOR map. */
   public static ObjectNode decodeMap(byte[] body) throws InvalidMessageException {
     JsonNode node;
     try {
@@ -40,12 +40,12 @@
     throw new InvalidMessageException("body: not a map");
   }
 
-  /** For those who read a part of a body only. */
+  /** A streaming parser, for callers that read only a part of a body or don't need a tree. */
   static JsonParser parser(byte[] body) throws IOException {
     return MAPPER.getFactory().createParser(body);
   }
 
-  /** Size of a value in the form in which the protocol states its limits. */
+  /** The number of characters of the value's JSON form, in which the protocol states its limits. */
   public static int jsonSize(JsonNode node) {
     return node.toString().length();
   }
--- a/src/main/java/io/tansystack/wire/CloudProtocol.java
+++ b/src/main/java/io/tansystack/wire/CloudProtocol.java
@@ -7,42 +7,63 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Messages of the cloud's interface. */
+/**
+ * Messages of the cloud's API. In it, {@code Berth} is a machine, {@code Fleet} a machine type,
+ * {@code Yard} a zone and {@code Charter} the ID of a rental request. {@code Loaners} is true for
+ * spot machines.
+ */
 public final class CloudProtocol {
-  public static final int MAX_RENT = 50;
-  public static final int MAX_DELETE = 100;
-  public static final int MAX_LIST = 500;
+  /** The most machines that one rental request may ask for. */
+  public static final int MAX_MACHINES_PER_RENT = 50;
+
+  /** The most machines that one deletion request may name. */
+  public static final int MAX_MACHINES_PER_DELETE = 100;
+
+  /** The most machines on one page of the machine list. */
+  public static final int MACHINE_LIST_PAGE_SIZE = 500;
 
   private CloudProtocol() {}
 
-  /** What the machine list says of a machine. */
+  /** The status of a machine in the machine list. */
   public enum Status {
     BOOTING,
     RUNNING,
     FAILED
   }
 
-  /** One line of the machine list. */
+  /**
+   * An entry of the machine list.
+   *
+   * @param ageS seconds since the machine was rented
+   */
   public record ListedMachine(
       String machine, String type, String zone, boolean spot, Status status, double ageS) {}
 
-  /** One page of the machine list. */
-  public record Page(List<ListedMachine> machines, boolean more) {}
+  /** One page of the machine list; {@code hasMore} if further pages follow. */
+  public record Page(List<ListedMachine> machines, boolean hasMore) {}
 
-  public static byte[] rent(String request, String type, String zone, boolean spot, int count) {
+  /**
+   * The body of a rental request.
+   *
+   * @param requestId if it is repeated, the cloud answers as before and rents no further machines
+   */
+  public static byte[] encodeRent(
+      String requestId, String type, String zone, boolean spot, int count) {
     ObjectNode map = Cbor.map();
-    map.put("Charter", request).put("Fleet", type).put("Yard", zone);
+    map.put("Charter", requestId).put("Fleet", type).put("Yard", zone);
     map.put("Loaners", spot).put("HowMany", count);
     return Cbor.encode(map);
   }
 
-  public static byte[] delete(Collection<String> machines) {
+  /** The body of a deletion request. */
+  public static byte[] encodeDelete(Collection<String> machines) {
     ObjectNode map = Cbor.map();
     ArrayNode list = map.putArray("Berths");
     machines.forEach(list::add);
     return Cbor.encode(map);
   }
 
+  /** The names of the rented machines; they may be fewer than requested. */
   public static List<String> readRented(ObjectNode map) throws InvalidMessageException {
     List<String> names = new ArrayList<>();
     for (JsonNode name : FieldReader.list(map, "Berths")) {
@@ -51,16 +72,24 @@
     return names;
   }
 
-  public static String listPath(String after) {
-    return "/machines?" + (after.isEmpty() ? "" : "Since=" + after + "&") + "Limit=" + MAX_LIST;
+  /**
+   * The path of a page of the machine list, which is sorted by machine name.
+   *
+   * @param afterMachine the last machine of the page before; empty for the first page
+   */
+  public static String listPath(String afterMachine) {
+    return "/machines?"
+        + (afterMachine.isEmpty() ? "" : "Since=" + afterMachine + "&")
+        + "Limit="
+        + MACHINE_LIST_PAGE_SIZE;
   }
 
   public static Page readPage(ObjectNode map) throws InvalidMessageException {
     List<ListedMachine> machines = new ArrayList<>();
     for (JsonNode node : FieldReader.list(map, "Berths")) {
-      ObjectNode m = FieldReader.map(node, "Berths");
+      ObjectNode machine = FieldReader.map(node, "Berths");
       Status status =
-          switch (FieldReader.text(m, "Status")) {
+          switch (FieldReader.text(machine, "Status")) {
             case "starting" -> Status.BOOTING;
             case "running" -> Status.RUNNING;
             case "failed" -> Status.FAILED;
@@ -68,12 +97,12 @@
           };
       machines.add(
           new ListedMachine(
-              FieldReader.text(m, "Uid"),
-              FieldReader.text(m, "Fleet"),
-              FieldReader.text(m, "Yard"),
-              FieldReader.flagOr(m, "Loaners", false),
+              FieldReader.text(machine, "Uid"),
+              FieldReader.text(machine, "Fleet"),
+              FieldReader.text(machine, "Yard"),
+              FieldReader.flagOr(machine, "Loaners", false),
               status,
-              FieldReader.amountOr(m, "AgeS", 0)));
+              FieldReader.amountOr(machine, "AgeS", 0)));
     }
     return new Page(machines, FieldReader.flagOr(map, "HasNext", false));
   }
--- a/src/main/java/io/tansystack/wire/FieldReader.java
+++ b/src/main/java/io/tansystack/wire/FieldReader.java
@@ -4,11 +4,11 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Typed, checked access to the fields of a decoded map. Every refusal names the field. */
+/** Typed, checked access to the fields of a decoded map. Every exception names the field. */
 public final class FieldReader {
   private FieldReader() {}
 
-  private static JsonNode present(ObjectNode map, String field) throws InvalidMessageException {
+  private static JsonNode required(ObjectNode map, String field) throws InvalidMessageException {
     JsonNode node = map.get(field);
     if (node == null || node.isNull()) {
       throw new InvalidMessageException(field + ": missing");
@@ -16,13 +16,14 @@
     return node;
   }
 
+  /** Whether the field is present and not null. */
   public static boolean has(ObjectNode map, String field) {
     JsonNode node = map.get(field);
     return node != null && !node.isNull();
   }
 
   public static String text(ObjectNode map, String field) throws InvalidMessageException {
-    JsonNode node = present(map, field);
+    JsonNode node = required(map, field);
     if (!node.isTextual()) {
       throw new InvalidMessageException(field + ": not text");
     }
@@ -34,21 +35,21 @@
   }
 
   public static boolean flag(ObjectNode map, String field) throws InvalidMessageException {
-    JsonNode node = present(map, field);
+    JsonNode node = required(map, field);
     if (!node.isBoolean()) {
       throw new InvalidMessageException(field + ": not a boolean");
     }
     return node.booleanValue();
   }
 
-  public static boolean flagOr(ObjectNode map, String field, boolean fallback)
+  public static boolean flagOr(ObjectNode map, String field, boolean defaultValue)
       throws InvalidMessageException {
-    return has(map, field) ? flag(map, field) : fallback;
+    return has(map, field) ? flag(map, field) : defaultValue;
   }
 
-  /** A decimal amount: finite and not negative. Integers are accepted as amounts too. */
+  /** Reads a decimal amount, which must be finite and not negative. Integers are accepted too. */
   public static double amount(ObjectNode map, String field) throws InvalidMessageException {
-    JsonNode node = present(map, field);
+    JsonNode node = required(map, field);
     if (!node.isNumber()) {
       throw new InvalidMessageException(field + ": not a number");
     }
@@ -59,15 +60,15 @@
     return value;
   }
 
-  public static double amountOr(ObjectNode map, String field, double fallback)
+  public static double amountOr(ObjectNode map, String field, double defaultValue)
       throws InvalidMessageException {
-    return has(map, field) ? amount(map, field) : fallback;
+    return has(map, field) ? amount(map, field) : defaultValue;
   }
 
-  /** An integer of the protocol (counts, versions, tokens, attempts). */
+  /** Reads an integer, such as a count, version, token or attempt; both bounds are inclusive. */
   public static long integer(ObjectNode map, String field, long min, long max)
       throws InvalidMessageException {
-    JsonNode node = present(map, field);
+    JsonNode node = required(map, field);
     if (!node.isIntegralNumber() || !node.canConvertToLong()) {
       throw new InvalidMessageException(field + ": not an integer in range");
     }
@@ -78,26 +79,27 @@
     return value;
   }
 
+  /** Reads an integer that must not be negative. */
   public static long integer(ObjectNode map, String field) throws InvalidMessageException {
     return integer(map, field, 0, Long.MAX_VALUE);
   }
 
   public static ArrayNode list(ObjectNode map, String field) throws InvalidMessageException {
-    JsonNode node = present(map, field);
+    JsonNode node = required(map, field);
     if (node instanceof ArrayNode list) {
       return list;
     }
     throw new InvalidMessageException(field + ": not a list");
   }
 
-  public static ObjectNode map(JsonNode node, String what) throws InvalidMessageException {
+  public static ObjectNode map(JsonNode node, String fieldName) throws InvalidMessageException {
     if (node instanceof ObjectNode map) {
       return map;
     }
-    throw new InvalidMessageException(what + ": not a map");
+    throw new InvalidMessageException(fieldName + ": not a map");
   }
 
   public static ObjectNode map(ObjectNode map, String field) throws InvalidMessageException {
-    return map(present(map, field), field);
+    return map(required(map, field), field);
   }
 }
--- a/src/main/java/io/tansystack/wire/InvalidMessageException.java
+++ b/src/main/java/io/tansystack/wire/InvalidMessageException.java
@@ -1,6 +1,9 @@
 package io.tansystack.wire;
 
-/** A message that does not follow the published protocol; the text says which field and why. */
+/**
+ * Thrown if a message does not follow the published protocol. Its text names the field and what is
+ * wrong with it. It has no stack trace.
+ */
 public final class InvalidMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/tansystack/wire/MachineType.java
+++ b/src/main/java/io/tansystack/wire/MachineType.java
@@ -5,7 +5,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A machine type as the cloud offers it. */
+/**
+ * A machine type that the cloud offers ({@code Fleet} in the protocol).
+ *
+ * @param cacheGb the size of the machine's image cache
+ * @param fetchGbPerS the rate at which it fetches images
+ * @param spotPrice the price as a spot machine; equal to {@code price} if the cloud states none
+ * @param bootS the seconds from rental until the machine is usable, as the cloud states them
+ */
 public record MachineType(
     String name,
     double cpus,
@@ -18,6 +25,12 @@
     double bootS,
     List<String> zones) {
 
+  /** Tolerance for rounding errors of decimal amounts. */
+  private static final double EPSILON = 1e-9;
+
+  /** Limits the result for tasks that request next to no resources. */
+  private static final double MAX_CAPACITY = 1e6;
+
   public static List<MachineType> readAll(ObjectNode map) throws InvalidMessageException {
     List<MachineType> types = new ArrayList<>();
     for (JsonNode node : FieldReader.list(map, "Fleets")) {
@@ -44,21 +57,23 @@
 
   /** Whether one task of the job fits into an empty machine of this type. */
   public boolean fits(JobSpec spec) {
-    return spec.cpus() <= cpus + 1e-9 && spec.gpus() <= gpus + 1e-9 && spec.memGb() <= memGb + 1e-9;
+    return spec.cpus() <= cpus + EPSILON
+        && spec.gpus() <= gpus + EPSILON
+        && spec.memGb() <= memGb + EPSILON;
   }
 
   /** How many tasks of the job fit into an empty machine of this type. */
   public int capacityFor(JobSpec spec) {
-    double n = 1e6;
+    double tasks = MAX_CAPACITY;
     if (spec.cpus() > 0) {
-      n = Math.min(n, cpus / spec.cpus());
+      tasks = Math.min(tasks, cpus / spec.cpus());
     }
     if (spec.gpus() > 0) {
-      n = Math.min(n, gpus / spec.gpus());
+      tasks = Math.min(tasks, gpus / spec.gpus());
     }
     if (spec.memGb() > 0) {
-      n = Math.min(n, memGb / spec.memGb());
+      tasks = Math.min(tasks, memGb / spec.memGb());
     }
-    return (int) (n + 1e-9);
+    return (int) (tasks + EPSILON);
   }
 }
--- a/src/main/java/io/tansystack/wire/Priority.java
+++ b/src/main/java/io/tansystack/wire/Priority.java
@@ -1,21 +1,22 @@
 package io.tansystack.wire;
 
-/** Job priorities, most urgent first, so that the ordinal orders them. */
+/** Job priorities, most urgent first: they are compared by their ordinals. */
 public enum Priority {
   PRODUCTION("prod"),
   HIGH("urgent"),
   NORMAL("standard"),
   LOW("idle");
 
-  public final String wire;
+  /** The value of {@code Urgency} in job specifications. */
+  public final String wireName;
 
-  Priority(String wire) {
-    this.wire = wire;
+  Priority(String wireName) {
+    this.wireName = wireName;
   }
 
   static Priority parse(String text) throws InvalidMessageException {
     for (Priority priority : values()) {
-      if (priority.wire.equals(text)) {
+      if (priority.wireName.equals(text)) {
         return priority;
       }
     }
--- a/src/main/java/io/tansystack/wire/Report.java
+++ b/src/main/java/io/tansystack/wire/Report.java
@@ -6,7 +6,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A worker's report: what the machine is and all tasks it holds. */
+/**
+ * A worker's report: the machine's properties and all its tasks.
+ *
+ * @param address where the worker accepts commands ({@code Endpoint})
+ * @param session the worker's session ({@code Shift}), which lasts from one lease expiry to the
+ *     next
+ * @param seq the sequence number of the report ({@code Tick})
+ * @param token the highest fencing token that the worker has received ({@code Baton}); 0 if none
+ * @param reclaimNoticeS the seconds until the cloud reclaims the spot machine ({@code RecallS});
+ *     null if there is no notice
+ */
 public record Report(
     String machine,
     String address,
@@ -16,12 +26,12 @@
     long session,
     long seq,
     long token,
-    Double noticeS,
+    Double reclaimNoticeS,
     List<TaskReport> tasks) {
 
-  private static final int MAX_NAME = 100;
+  private static final int MAX_NAME_LENGTH = 100;
 
-  /** Reads a report as it came. */
+  /** Reads a report from the bytes of a request. */
   public static Report read(byte[] body) throws InvalidMessageException {
     Report report = StreamingReportParser.read(body);
     return report != null ? report : read(Cbor.decodeMap(body));
@@ -35,7 +45,7 @@
       }
     }
     String machine = FieldReader.text(map, "Berth");
-    checkName(machine);
+    checkMachineName(machine);
     return new Report(
         machine,
         FieldReader.text(map, "Endpoint"),
@@ -49,12 +59,12 @@
         List.copyOf(tasks));
   }
 
-  static void checkName(String machine) throws InvalidMessageException {
+  static void checkMachineName(String machine) throws InvalidMessageException {
     if (machine == null
         || machine.isEmpty()
-        || machine.length() > MAX_NAME
+        || machine.length() > MAX_NAME_LENGTH
         || machine.indexOf(' ') >= 0) {
-      throw new InvalidMessageException("Berth: bad name");
+      throw new InvalidMessageException("Berth: not a valid machine name");
     }
   }
 
@@ -62,41 +72,54 @@
     ObjectNode map = Cbor.map();
     map.put("Berth", machine).put("Endpoint", address).put("Fleet", type).put("Yard", zone);
     map.put("Loaners", spot).put("Shift", session).put("Tick", seq).put("Baton", token);
-    if (noticeS != null) {
-      map.put("RecallS", noticeS.doubleValue());
+    if (reclaimNoticeS != null) {
+      map.put("RecallS", reclaimNoticeS.doubleValue());
     }
     ArrayNode list = map.putArray("Wagons");
     tasks.forEach(task -> list.add(task.write()));
     return map;
   }
 
-  /** The same report with other tasks. */
-  public Report with(List<TaskReport> others) {
+  /** A copy of this report with other tasks. */
+  public Report withTasks(List<TaskReport> newTasks) {
     return new Report(
-        machine, address, type, zone, spot, session, seq, token, noticeS, List.copyOf(others));
+        machine,
+        address,
+        type,
+        zone,
+        spot,
+        session,
+        seq,
+        token,
+        reclaimNoticeS,
+        List.copyOf(newTasks));
   }
 
-  /** The same report under another number. */
-  public Report numbered(long otherSeq) {
+  /** A copy of this report with another sequence number. */
+  public Report withSequence(long newSeq) {
     return new Report(
-        machine, address, type, zone, spot, session, otherSeq, token, noticeS, tasks);
+        machine, address, type, zone, spot, session, newSeq, token, reclaimNoticeS, tasks);
   }
 
-  /** What it says of the machine itself. */
-  public Report without() {
-    return with(List.of());
+  /** A copy of this report with only the properties of the machine. */
+  public Report withoutTasks() {
+    return withTasks(List.of());
   }
 
-  /** Whether it says the same as an earlier one, but for its number: half of all reports do. */
-  public boolean saysNoMoreThan(Report other) {
-    return session == other.session
-        && token == other.token
-        && (noticeS == null) == (other.noticeS == null)
-        && address.equals(other.address)
-        && tasks.equals(other.tasks);
+  /**
+   * Whether this report contains nothing new, except for its sequence number, compared with an
+   * earlier one of the same machine, which holds for half of all reports. Of the reclaim notice,
+   * only its presence is compared.
+   */
+  public boolean repeats(Report earlier) {
+    return session == earlier.session
+        && token == earlier.token
+        && (reclaimNoticeS == null) == (earlier.reclaimNoticeS == null)
+        && address.equals(earlier.address)
+        && tasks.equals(earlier.tasks);
   }
 
-  /** Whether this message was made after the other one by the same worker. */
+  /** Whether the worker sent this report after the other one. */
   public boolean newerThan(Report other) {
     return session != other.session ? session > other.session : seq > other.seq;
   }
--- a/src/main/java/io/tansystack/wire/ReportHeader.java
+++ b/src/main/java/io/tansystack/wire/ReportHeader.java
@@ -6,16 +6,20 @@
 import java.util.Arrays;
 
 /**
- * The start of a report's body, read without the rest: whose it is, its number, and where that number
- * stands. Most reports repeat the one before but for the number, and their tasks are then known
- * without being decoded again, which for a full machine costs more than everything else done with it.
+ * The first fields of a report, read without decoding the rest: the machine, the sequence number
+ * and the position of that number in the body. Most reports repeat the one before except for the
+ * sequence number. Their tasks are then already known and need not be decoded again, which for a
+ * full machine costs more than all other processing of the report.
  *
- * @param from where the number begins in the body
- * @param to where it ends
+ * @param seqStart the offset in the body at which the sequence number starts
+ * @param seqEnd the offset at which it ends (exclusive)
  */
-public record ReportHeader(String machine, long seq, int from, int to) {
+public record ReportHeader(String machine, long seq, int seqStart, int seqEnd) {
 
-  /** Null where the fields come in an order in which that can't be told; all of it is read then. */
+  /**
+   * Reads the header; null if the body is malformed, or if the machine name doesn't come before the
+   * sequence number or a list or map does. The caller then decodes the whole report.
+   */
   public static ReportHeader read(byte[] body) {
     try (JsonParser parser = Cbor.parser(body)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -24,11 +28,11 @@
       String machine = null;
       for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
         if (field.equals("Tick")) {
-          int from = (int) parser.currentLocation().getByteOffset();
-          boolean number = parser.nextToken() == JsonToken.VALUE_NUMBER_INT;
-          int to = (int) parser.currentLocation().getByteOffset();
-          return machine != null && number
-              ? new ReportHeader(machine, parser.getLongValue(), from, to)
+          int seqStart = (int) parser.currentLocation().getByteOffset();
+          boolean isInteger = parser.nextToken() == JsonToken.VALUE_NUMBER_INT;
+          int seqEnd = (int) parser.currentLocation().getByteOffset();
+          return machine != null && isInteger
+              ? new ReportHeader(machine, parser.getLongValue(), seqStart, seqEnd)
               : null;
         }
         JsonToken value = parser.nextToken();
@@ -41,13 +45,13 @@
       }
       return null;
     } catch (IOException | RuntimeException e) {
-      return null; // Whoever reads all of it says what is wrong.
+      return null; // Decoding the whole report says what is wrong.
     }
   }
 
-  /** Whether two bodies are the same, byte by byte, but for the number. */
-  public boolean sameRest(byte[] body, ReportHeader other, byte[] otherBody) {
-    return Arrays.equals(body, 0, from, otherBody, 0, other.from)
-        && Arrays.equals(body, to, body.length, otherBody, other.to, otherBody.length);
+  /** Whether two bodies have the same bytes except for their sequence numbers. */
+  public boolean equalsExceptSequence(byte[] body, ReportHeader other, byte[] otherBody) {
+    return Arrays.equals(body, 0, seqStart, otherBody, 0, other.seqStart)
+        && Arrays.equals(body, seqEnd, body.length, otherBody, other.seqEnd, otherBody.length);
   }
 }
--- a/src/main/java/io/tansystack/wire/Responses.java
+++ b/src/main/java/io/tansystack/wire/Responses.java
@@ -2,49 +2,58 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Bodies of the answers to users and workers. */
+/** Bodies of the responses to users and workers. */
 public final class Responses {
   private Responses() {}
 
-  /** A job's state as users see it. */
+  /** The status of a job as users see it. */
   public enum JobStatus {
     PENDING("pending"),
     RUNNING("running"),
     DONE("done"),
     CANCELLED("withdrawn");
 
-    final String wire;
+    final String wireName;
 
-    JobStatus(String wire) {
-      this.wire = wire;
+    JobStatus(String wireName) {
+      this.wireName = wireName;
     }
   }
 
-  public static ObjectNode job(String id, JobStatus state) {
-    return Cbor.map().put("Uid", id).put("Status", state.wire);
+  public static ObjectNode jobStatus(String id, JobStatus status) {
+    return Cbor.map().put("Uid", id).put("Status", status.wireName);
   }
 
-  public static ObjectNode progress(String id, JobStatus state, int done, int running) {
-    return job(id, state).put("done", done).put("running", running);
+  /** The status of a job with the numbers of its done and running tasks. */
+  public static ObjectNode jobProgress(String id, JobStatus status, int done, int running) {
+    return jobStatus(id, status).put("done", done).put("running", running);
   }
 
-  /** Accepts a report. Commands travel by {@code /orders} alone, so the list is always empty. */
-  public static ObjectNode report(long token) {
+  /**
+   * Accepts a worker's report under the owner's fencing token ({@code Baton}). Commands are sent
+   * only by {@code POST /orders}, so the list of commands ({@code Signals}) is always empty.
+   */
+  public static ObjectNode reportAccepted(long token) {
     ObjectNode map = Cbor.map().put("Baton", token);
     map.putArray("Signals");
     return map;
   }
 
-  /** Sends a worker on; with {@code label} null it tries the next node. */
-  public static ObjectNode redirect(String label) {
+  /**
+   * Redirects a worker to another controller.
+   *
+   * @param ownerLabel the label of the machine's owner ({@code Dispatcher}); null makes the worker
+   *     try the next controller
+   */
+  public static ObjectNode redirect(String ownerLabel) {
     ObjectNode map = Cbor.map();
-    if (label != null) {
-      map.put("Dispatcher", label);
+    if (ownerLabel != null) {
+      map.put("Dispatcher", ownerLabel);
     }
     return map;
   }
 
-  public static ObjectNode error(String why) {
-    return Cbor.map().put("error", why);
+  public static ObjectNode error(String reason) {
+    return Cbor.map().put("error", reason);
   }
 }
--- a/src/main/java/io/tansystack/wire/StoreProtocol.java
+++ b/src/main/java/io/tansystack/wire/StoreProtocol.java
@@ -6,44 +6,61 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages of the state service's interface. */
+/**
+ * Messages of the state service's API. In it, {@code Path} is a key, {@code Stamp} the version of a
+ * key (the revision that wrote it), {@code Ledger} the service's revision and {@code Permit} a
+ * lease ID.
+ */
 public final class StoreProtocol {
   private StoreProtocol() {}
 
-  /** The new value of a key, or its removal ({@code value} null), at a revision. */
+  /** The new value of a key, or its deletion ({@code value} is null), at the given revision. */
   public record Change(String key, ObjectNode value, long version) {}
 
-  /** Changes and the revision up to which they are complete. */
-  public record Changes(List<Change> changes, long revision, boolean more) {}
+  /**
+   * Changes, and the revision up to which they are complete.
+   *
+   * @param hasMore whether further pages of a list follow
+   */
+  public record Changes(List<Change> changes, long revision, boolean hasMore) {}
 
-  /** A condition of a transaction: the key has this version; 0 means that it does not exist. */
+  /** A condition of a transaction: the key has this version; 0 requires that it does not exist. */
   public record Condition(String key, long version) {}
 
-  /** A write of a transaction; {@code value} null deletes, {@code lease} 0 attaches to none. */
-  public record Write(String key, ObjectNode value, long lease) {}
+  /**
+   * A write of a transaction.
+   *
+   * @param value the new value; null deletes the key
+   * @param leaseId the lease that the key is attached to; 0 for none
+   */
+  public record Write(String key, ObjectNode value, long leaseId) {}
 
-  public static byte[] txn(List<Condition> conditions, List<Write> writes) {
+  public static byte[] encodeTransaction(List<Condition> conditions, List<Write> writes) {
     ObjectNode map = Cbor.map();
-    ArrayNode when = map.putArray("When");
+    ArrayNode conditionNodes = map.putArray("When");
     for (Condition condition : conditions) {
-      when.addObject().put("Path", condition.key()).put("Stamp", condition.version());
+      conditionNodes.addObject().put("Path", condition.key()).put("Stamp", condition.version());
     }
-    ArrayNode then = map.putArray("Then");
+    ArrayNode writeNodes = map.putArray("Then");
     for (Write write : writes) {
-      ObjectNode node = then.addObject();
+      ObjectNode node = writeNodes.addObject();
       if (write.value() == null) {
         node.put("Delete", write.key());
       } else {
         node.put("Write", write.key()).set("Value", write.value());
-        if (write.lease() != 0) {
-          node.put("Permit", write.lease());
+        if (write.leaseId() != 0) {
+          node.put("Permit", write.leaseId());
         }
       }
     }
     return Cbor.encode(map);
   }
 
-  /** @param map the answer; null where it could not be read */
+  /**
+   * Reads the service's revision.
+   *
+   * @param map the response; null if it was not readable
+   */
   public static long readRevision(ObjectNode map) throws InvalidMessageException {
     if (map == null) {
       throw new InvalidMessageException("Ledger: missing");
@@ -55,6 +72,7 @@
     return "/store/" + key;
   }
 
+  /** Reads a key with its value and version. */
   public static Change readKey(ObjectNode map) throws InvalidMessageException {
     return new Change(
         FieldReader.text(map, "Path"),
@@ -62,11 +80,19 @@
         FieldReader.integer(map, "Stamp"));
   }
 
-  public static String listPath(String prefix, String after) {
-    return "/store?Starts=" + prefix + (after.isEmpty() ? "" : "&Since=" + after) + "&Limit=1000";
+  /**
+   * The path of a page of the keys with a prefix, in the order of the keys.
+   *
+   * @param afterKey the last key of the page before; empty for the first page
+   */
+  public static String listPath(String prefix, String afterKey) {
+    return "/store?Starts="
+        + prefix
+        + (afterKey.isEmpty() ? "" : "&Since=" + afterKey)
+        + "&Limit=1000";
   }
 
-  /** Lists nothing, but tells the service's revision. */
+  /** The path of a list that is empty and returns only the service's revision. */
   public static String revisionPath(String prefix) {
     return "/store?Starts=" + prefix + "none/&Limit=1";
   }
@@ -79,8 +105,12 @@
     return new Changes(changes, readRevision(map), FieldReader.flagOr(map, "HasNext", false));
   }
 
-  public static String watchPath(String prefix, long after, long holdMs) {
-    return "/watch?Starts=" + prefix + "&Since=" + after + "&HoldMs=" + holdMs;
+  /**
+   * The path of a long poll for changes after a revision. The service responds once there is a
+   * change, or after {@code maxWaitMs}.
+   */
+  public static String watchPath(String prefix, long afterRevision, long maxWaitMs) {
+    return "/watch?Starts=" + prefix + "&Since=" + afterRevision + "&HoldMs=" + maxWaitMs;
   }
 
   public static Changes readWatch(ObjectNode map) throws InvalidMessageException {
@@ -98,15 +128,16 @@
     return new Changes(changes, readRevision(map), false);
   }
 
-  public static byte[] grant(long lifeMs) {
-    return Cbor.encode(Cbor.map().put("LifeMs", lifeMs));
+  /** The body of a request for a lease that expires if it is not renewed within {@code ttlMs}. */
+  public static byte[] encodeLeaseRequest(long ttlMs) {
+    return Cbor.encode(Cbor.map().put("LifeMs", ttlMs));
   }
 
-  public static long readGrant(ObjectNode map) throws InvalidMessageException {
+  public static long readLeaseId(ObjectNode map) throws InvalidMessageException {
     return FieldReader.integer(map, "Permit");
   }
 
-  public static String renewPath(long lease) {
-    return "/grants/" + lease + "/renew";
+  public static String renewPath(long leaseId) {
+    return "/grants/" + leaseId + "/renew";
   }
 }
--- a/src/main/java/io/tansystack/wire/StreamingReportParser.java
+++ b/src/main/java/io/tansystack/wire/StreamingReportParser.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * Reads a report from its bytes without building a tree first: hundreds come every second, each with
- * dozens of tasks. Whatever is out of the ordinary is left to {@link Report#read}, which says what is
- * wrong with it.
+ * Parses a report from its bytes without building a tree first, because hundreds arrive every
+ * second, each with dozens of tasks. A report that this parser does not accept is parsed again by
+ * {@link Report#read}, which either accepts it or says what is wrong with it.
  */
 final class StreamingReportParser {
   private static final TaskReport.State[] STATES = TaskReport.State.values();
@@ -21,18 +21,18 @@
     this.parser = parser;
   }
 
-  /** Null where the body isn't just what it is expected to be. */
+  /** Parses a report; null if a field is missing or has a value that this parser doesn't accept. */
   static Report read(byte[] body) {
     try (JsonParser parser = Cbor.parser(body)) {
       return parser.nextToken() == JsonToken.START_OBJECT
-          ? new StreamingReportParser(parser).report()
+          ? new StreamingReportParser(parser).parseReport()
           : null;
     } catch (IOException | InvalidMessageException e) {
       return null;
     }
   }
 
-  private Report report() throws IOException, InvalidMessageException {
+  private Report parseReport() throws IOException, InvalidMessageException {
     String machine = null;
     String address = null;
     String type = null;
@@ -41,43 +41,45 @@
     long session = -1;
     long seq = -1;
     long token = 0;
-    Double noticeS = null;
+    Double reclaimNoticeS = null;
     List<TaskReport> tasks = List.of();
     for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
       parser.nextToken();
       switch (field) {
-        case "Berth" -> machine = text();
-        case "Endpoint" -> address = text();
-        case "Fleet" -> type = text();
-        case "Yard" -> zone = text();
-        case "Loaners" -> spot = flag();
-        case "Shift" -> session = integer();
-        case "Tick" -> seq = integer();
-        case "Baton" -> token = integer();
-        case "RecallS" -> noticeS = amountOrNull();
-        case "Wagons" -> tasks = tasks();
+        case "Berth" -> machine = readText();
+        case "Endpoint" -> address = readText();
+        case "Fleet" -> type = readText();
+        case "Yard" -> zone = readText();
+        case "Loaners" -> spot = readFlag();
+        case "Shift" -> session = readInteger();
+        case "Tick" -> seq = readInteger();
+        case "Baton" -> token = readInteger();
+        case "RecallS" -> reclaimNoticeS = readAmountOrNull();
+        case "Wagons" -> tasks = parseTasks();
         default -> parser.skipChildren();
       }
     }
-    boolean whole = parser.currentToken() == JsonToken.END_OBJECT && parser.nextToken() == null;
-    if (!whole || address == null || type == null || zone == null || session < 0 || seq < 0) {
-      throw new InvalidMessageException("not a whole report");
+    boolean complete =
+        parser.currentToken() == JsonToken.END_OBJECT && parser.nextToken() == null;
+    if (!complete || address == null || type == null || zone == null || session < 0 || seq < 0) {
+      throw new InvalidMessageException("incomplete report");
     }
-    Report.checkName(machine);
-    return new Report(machine, address, type, zone, spot, session, seq, token, noticeS, tasks);
+    Report.checkMachineName(machine);
+    return new Report(
+        machine, address, type, zone, spot, session, seq, token, reclaimNoticeS, tasks);
   }
 
-  private List<TaskReport> tasks() throws IOException, InvalidMessageException {
-    expect(parser.currentToken() == JsonToken.START_ARRAY);
+  private List<TaskReport> parseTasks() throws IOException, InvalidMessageException {
+    require(parser.currentToken() == JsonToken.START_ARRAY);
     List<TaskReport> tasks = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      expect(parser.currentToken() == JsonToken.START_OBJECT);
-      tasks.add(task());
+      require(parser.currentToken() == JsonToken.START_OBJECT);
+      tasks.add(parseTask());
     }
     return List.copyOf(tasks);
   }
 
-  private TaskReport task() throws IOException, InvalidMessageException {
+  private TaskReport parseTask() throws IOException, InvalidMessageException {
     TaskId task = null;
     long attempt = -1;
     TaskReport.State state = null;
@@ -86,67 +88,67 @@
     for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
       parser.nextToken();
       switch (field) {
-        case "Wagon" -> task = TaskId.parse(text());
-        case "Departure" -> attempt = integer();
-        case "Status" -> state = state(text());
-        case "Cause" -> cause = cause(text());
-        case "Stored" -> saved = flag();
+        case "Wagon" -> task = TaskId.parse(readText());
+        case "Departure" -> attempt = readInteger();
+        case "Status" -> state = parseState(readText());
+        case "Cause" -> cause = parseCause(readText());
+        case "Stored" -> saved = readFlag();
         default -> parser.skipChildren();
       }
     }
-    expect(task != null && attempt >= 0 && state != null);
+    require(task != null && attempt >= 0 && state != null);
     return new TaskReport(
         task, attempt, state, state == TaskReport.State.EXITED ? cause : null, saved);
   }
 
-  private static TaskReport.State state(String word) {
+  private static TaskReport.State parseState(String wireName) {
     for (TaskReport.State state : STATES) {
-      if (state.wire.equals(word)) {
+      if (state.wireName.equals(wireName)) {
         return state;
       }
     }
     return null;
   }
 
-  private static TaskReport.Cause cause(String word) {
+  private static TaskReport.Cause parseCause(String wireName) {
     for (TaskReport.Cause cause : CAUSES) {
-      if (cause.wire.equals(word)) {
+      if (cause.wireName.equals(wireName)) {
         return cause;
       }
     }
     return TaskReport.Cause.OTHER;
   }
 
-  private String text() throws IOException, InvalidMessageException {
-    expect(parser.currentToken() == JsonToken.VALUE_STRING);
+  private String readText() throws IOException, InvalidMessageException {
+    require(parser.currentToken() == JsonToken.VALUE_STRING);
     return parser.getText();
   }
 
-  private boolean flag() throws InvalidMessageException {
-    expect(parser.currentToken().isBoolean());
+  private boolean readFlag() throws InvalidMessageException {
+    require(parser.currentToken().isBoolean());
     return parser.currentToken() == JsonToken.VALUE_TRUE;
   }
 
-  private long integer() throws IOException, InvalidMessageException {
-    expect(parser.currentToken() == JsonToken.VALUE_NUMBER_INT);
+  private long readInteger() throws IOException, InvalidMessageException {
+    require(parser.currentToken() == JsonToken.VALUE_NUMBER_INT);
     long value = parser.getLongValue();
-    expect(value >= 0);
+    require(value >= 0);
     return value;
   }
 
-  private Double amountOrNull() throws IOException, InvalidMessageException {
+  private Double readAmountOrNull() throws IOException, InvalidMessageException {
     if (parser.currentToken() == JsonToken.VALUE_NULL) {
       return null;
     }
-    expect(parser.currentToken().isNumeric());
+    require(parser.currentToken().isNumeric());
     double value = parser.getDoubleValue();
-    expect(Double.isFinite(value) && value >= 0);
+    require(Double.isFinite(value) && value >= 0);
     return value;
   }
 
-  private static void expect(boolean ordinary) throws InvalidMessageException {
-    if (!ordinary) {
-      throw new InvalidMessageException("not as it is expected");
+  private static void require(boolean condition) throws InvalidMessageException {
+    if (!condition) {
+      throw new InvalidMessageException("unexpected value");
     }
   }
 }
--- a/src/main/java/io/tansystack/wire/ThrottledLogger.java
+++ b/src/main/java/io/tansystack/wire/ThrottledLogger.java
@@ -5,17 +5,18 @@
 import org.slf4j.Logger;
 
 /**
- * Logs what can't be read, seldom: whoever sends one unreadable message sends thousands, and a log that
- * is flooded with them hides everything else and costs the processor time of the rest.
+ * Logs unreadable messages, at most one in {@link #MIN_INTERVAL}. A sender of one unreadable
+ * message sends thousands; logging them all would hide every other line and take CPU time from the
+ * rest of the process.
  */
 public final class ThrottledLogger {
-  static final Duration EVERY = Duration.ofSeconds(5);
+  static final Duration MIN_INTERVAL = Duration.ofSeconds(5);
 
   private final Logger log;
   private final LongSupplier nanoTime;
-  private boolean said;
-  private long saidAt;
-  private long unsaid;
+  private boolean loggedBefore;
+  private long lastLoggedAt;
+  private long suppressed;
 
   public ThrottledLogger(Logger log) {
     this(log, System::nanoTime);
@@ -26,25 +27,30 @@
     this.nanoTime = nanoTime;
   }
 
-  /** @param why names the field, and what is wrong with it */
-  public void tell(String what, String why) {
-    String line = line(what, why);
+  /**
+   * Logs a warning, or only counts it if the last one is too recent.
+   *
+   * @param source the kind or the sender of the message
+   * @param problem the field and what is wrong with it
+   */
+  public void warn(String source, String problem) {
+    String line = nextLine(source, problem);
     if (line != null) {
       log.warn(line);
     }
   }
 
-  /** The line to log; null while the last one is too recent. */
-  String line(String what, String why) {
+  /** The line to log; null if the last one is too recent. */
+  String nextLine(String source, String problem) {
     long now = nanoTime.getAsLong();
-    if (said && now - saidAt < EVERY.toNanos()) {
-      unsaid++;
+    if (loggedBefore && now - lastLoggedAt < MIN_INTERVAL.toNanos()) {
+      suppressed++;
       return null;
     }
-    String more = unsaid == 0 ? "" : " (and " + unsaid + " more that could not be read)";
-    said = true;
-    saidAt = now;
-    unsaid = 0;
-    return what + ": " + why + more;
+    String suffix = suppressed == 0 ? "" : " (and " + suppressed + " more that could not be read)";
+    loggedBefore = true;
+    lastLoggedAt = now;
+    suppressed = 0;
+    return source + ": " + problem + suffix;
   }
 }
--- a/src/main/java/io/tansystack/workers/CommandSender.java
+++ b/src/main/java/io/tansystack/workers/CommandSender.java
@@ -157,7 +157,7 @@
         machine.address,
         "POST",
         "/orders",
-        Command.orders(token, session, commands),
+        Command.encodeAll(token, session, commands),
         COMMANDS_TIMEOUT,
         new HttpClient.ResponseHandler() {
           @Override
@@ -177,7 +177,7 @@
               // It is unknown what became of the commands, and the newest report may be older than
               // they are: a task that it doesn't list would be taken for absent, although it has
               // just been started.
-              invalidMessages.tell(
+              invalidMessages.warn(
                   "machine=" + machine.name + " sent an invalid response to commands",
                   e.getMessage());
               machine.backOffUntil = loop.now().plusSeconds(1);
--- a/src/main/java/io/tansystack/workers/MachineView.java
+++ b/src/main/java/io/tansystack/workers/MachineView.java
@@ -195,7 +195,7 @@
   /** Encodes the view as it is sent between controllers, hundreds of times a second. */
   public ObjectNode write() {
     ObjectNode map = Cbor.map();
-    map.set("report", report.without().write());
+    map.set("report", report.withoutTasks().write());
     map.put("token", token).put("bw", fetchGbPerS).put("slow", slowness).put("silent", silentMs);
     map.put("unhearing", responsesLost);
     Map<TaskGroup, BitSet> groups = new LinkedHashMap<>();
@@ -234,7 +234,7 @@
         .fields()
         .forEachRemaining(e -> images.put(e.getKey(), e.getValue().asDouble()));
     return new MachineView(
-        Report.read(FieldReader.map(map, "report")).with(readTasks(FieldReader.list(map, "tasks"))),
+        Report.read(FieldReader.map(map, "report")).withTasks(readTasks(FieldReader.list(map, "tasks"))),
         FieldReader.integer(map, "token"),
         absentAttempts,
         images,
--- a/src/main/java/io/tansystack/workers/MachineViewPublisher.java
+++ b/src/main/java/io/tansystack/workers/MachineViewPublisher.java
@@ -55,7 +55,7 @@
         && previous.report().tasks() == machine.latest.tasks()
         && previous.report().session() == machine.latest.session()
         && previous.report().token() == machine.latest.token()
-        && (previous.report().noticeS() == null) == (machine.latest.noticeS() == null)
+        && (previous.report().reclaimNoticeS() == null) == (machine.latest.reclaimNoticeS() == null)
         && previous.token() == token
         && previous.responsesLost() == machine.responsesLost()
         && previous.absentAttempts().equals(absentAttempts)
@@ -94,7 +94,7 @@
         || previous.responsesLost() != view.responsesLost()
         || before.session() != latest.session()
         || before.token() != latest.token()
-        || (before.noticeS() == null) != (latest.noticeS() == null)
+        || (before.reclaimNoticeS() == null) != (latest.reclaimNoticeS() == null)
         || !view.jobsWithNewProofs(previous).isEmpty()) {
       return Duration.ZERO;
     }
--- a/src/main/java/io/tansystack/workers/OwnedMachine.java
+++ b/src/main/java/io/tansystack/workers/OwnedMachine.java
@@ -168,8 +168,8 @@
    * recognized by its bytes and not decoded again.
    */
   Report read(ReportHeader header, byte[] body) throws InvalidMessageException {
-    if (lastBody != null && header.sameRest(body, lastHeader, lastBody)) {
-      return lastParsed.numbered(header.seq());
+    if (lastBody != null && header.equalsExceptSequence(body, lastHeader, lastBody)) {
+      return lastParsed.withSequence(header.seq());
     }
     lastParsed = Report.read(body);
     lastHeader = header;
@@ -206,7 +206,7 @@
     if (receivesResponses && report.token() == token) {
       missedResponses = 0;
     }
-    lastHeartbeat = report.without();
+    lastHeartbeat = report.withoutTasks();
     answeredAt = now;
     answeredUnderToken = token;
   }
@@ -238,7 +238,7 @@
   byte[] response(long token) {
     if (responseToken != token) {
       responseToken = token;
-      response = Cbor.encode(Responses.report(token));
+      response = Cbor.encode(Responses.reportAccepted(token));
     }
     return response;
   }
--- a/src/main/java/io/tansystack/workers/WorkerManager.java
+++ b/src/main/java/io/tansystack/workers/WorkerManager.java
@@ -157,7 +157,7 @@
       OwnedMachine machine = header == null ? null : machines.get(header.machine());
       report = machine == null ? Report.read(body) : machine.read(header, body);
     } catch (InvalidMessageException e) {
-      invalidMessages.tell("unreadable report", e.getMessage());
+      invalidMessages.warn("unreadable report", e.getMessage());
       reply.send(400, Cbor.encode(Responses.error(e.getMessage())));
       return;
     }
@@ -229,16 +229,16 @@
     if (machine.latest != null && !report.newerThan(machine.latest)) {
       return;
     }
-    if (machine.latest != null && report.saysNoMoreThan(machine.latest)) {
+    if (machine.latest != null && report.repeats(machine.latest)) {
       // Keeps the same list object, by which later comparisons recognize the tasks as unchanged.
-      machine.latest = report.with(machine.latest.tasks());
+      machine.latest = report.withTasks(machine.latest.tasks());
       return;
     }
     machine.apply(report);
     try {
       machine.address = Addresses.parse(report.address());
     } catch (InvalidMessageException e) {
-      invalidMessages.tell("machine=" + machine.name + " can't be sent commands", e.getMessage());
+      invalidMessages.warn("machine=" + machine.name + " can't be sent commands", e.getMessage());
       machine.address = null;
     }
     machine.history.observe(report, loop.now(), this::spec);
--- a/src/test/java/io/tansystack/emulator/EmulatedStoreTest.java
+++ b/src/test/java/io/tansystack/emulator/EmulatedStoreTest.java
@@ -20,7 +20,7 @@
 
   private int put(String key, long version) throws Exception {
     byte[] body =
-        StoreProtocol.txn(
+        StoreProtocol.encodeTransaction(
             List.of(new Condition(key, version)), List.of(new Write(key, Cbor.map(), 0)));
     int[] status = {0};
     store.handle("POST", "/commit", Cbor.decodeMap(body), (s, map) -> status[0] = s);
--- a/src/test/java/io/tansystack/schedule/IncrementalCapacityTest.java
+++ b/src/test/java/io/tansystack/schedule/IncrementalCapacityTest.java
@@ -233,7 +233,7 @@
               t -> ended.add(new EndedAttempt(t, placement.attempt(), name, false)));
         }
       }
-      replaceRecord(id, record.absorbed(ended));
+      replaceRecord(id, record.withProofsApplied(ended));
     }
   }
 
@@ -283,7 +283,7 @@
                 }
               });
     }
-    replaceRecord(id, record.absorbed(ended));
+    replaceRecord(id, record.withProofsApplied(ended));
   }
 
   /**
@@ -344,6 +344,6 @@
             random.nextInt(12) == 0,
             random.nextInt(2),
             excluded,
-            record.untouched() && random.nextInt(4) == 0));
+            record.neverPlaced() && random.nextInt(4) == 0));
   }
 }
--- a/src/test/java/io/tansystack/sim/FairnessChecker.java
+++ b/src/test/java/io/tansystack/sim/FairnessChecker.java
@@ -89,7 +89,7 @@
 
   /** How many of its tasks must begin at once. */
   private static int together(JobSpec spec) {
-    return spec.shape() == JobKind.ARRAY ? 1 : spec.tasks();
+    return spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
   }
 
   /** Whether its team can't have as much beside what it uses. */
@@ -108,7 +108,7 @@
             .map(worker -> worker.zone())
             .distinct()
             .count();
-    return zones >= (spec.scatter() && together(spec) > 1 ? 2 : 1);
+    return zones >= (spec.spreadZones() && together(spec) > 1 ? 2 : 1);
   }
 
   /** Whether as many of its tasks as must begin at once fit on machines that are there. */
@@ -121,7 +121,7 @@
         fit.merge(worker.zone(), 1, Integer::sum); // One task a machine: what is counted is there for certain.
       }
     }
-    int most = spec.scatter() ? (together + 1) / 2 : together;
+    int most = spec.spreadZones() ? (together + 1) / 2 : together;
     int all = fit.values().stream().mapToInt(count -> Math.min(count, most)).sum();
     int one = fit.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     return (spec.sameZone() ? one : all) >= together;
--- a/src/test/java/io/tansystack/sim/FaultScenario.java
+++ b/src/test/java/io/tansystack/sim/FaultScenario.java
@@ -144,7 +144,7 @@
     }
     users().calm();
     users().jobs.values().stream()
-        .filter(told -> told.spec.shape() == JobKind.SERVICE && !told.asksToCancel)
+        .filter(told -> told.spec.kind() == JobKind.SERVICE && !told.asksToCancel)
         .forEach(
             told ->
                 loop.after(
--- a/src/test/java/io/tansystack/sim/HistoryChecker.java
+++ b/src/test/java/io/tansystack/sim/HistoryChecker.java
@@ -123,7 +123,7 @@
   private void started(UserJob told, String task, EmulatedWorker worker) {
     JobSpec spec = told.spec;
     boolean allowedType = spec.types() == null || spec.types().contains(worker.type().name());
-    if (!allowedType || (worker.spot() && !spec.spotOk())) {
+    if (!allowedType || (worker.spot() && !spec.spotAllowed())) {
       broken.add("wrong_place " + task + " on " + worker.type().name() + (worker.spot() ? ", which is spot" : ""));
     }
     if (told.cancelled != null) {
@@ -148,7 +148,7 @@
   }
 
   private void place(JobSpec spec, Map<String, Integer> counts) {
-    int most = spec.scatter() ? (spec.tasks() + 1) / 2 : spec.tasks();
+    int most = spec.spreadZones() ? (spec.tasks() + 1) / 2 : spec.tasks();
     boolean apart = spec.sameZone() && counts.size() > 1;
     boolean elsewhere = spec.zone() != null && !counts.keySet().equals(Set.of(spec.zone()));
     if (apart || elsewhere || counts.values().stream().anyMatch(count -> count > most)) {
--- a/src/test/java/io/tansystack/sim/RandomFaultRun.java
+++ b/src/test/java/io/tansystack/sim/RandomFaultRun.java
@@ -133,7 +133,7 @@
     users.calm();
     // Services run for ever and would keep their teams at their limits: what ends by itself is owed an end.
     users.jobs.forEach((id, told) -> {
-      if (told.spec.shape() == JobKind.SERVICE && !told.asksToCancel) {
+      if (told.spec.kind() == JobKind.SERVICE && !told.asksToCancel) {
         users.cancel(id, SimUsers.ANY);
       }
     });
--- a/src/test/java/io/tansystack/sim/SimUsers.java
+++ b/src/test/java/io/tansystack/sim/SimUsers.java
@@ -119,7 +119,7 @@
     told.submitted = cluster.loop.now();
     jobs.put(spec.id(), told);
     cluster.uploaded.put(spec.id(), spec);
-    if (spec.shape() == JobKind.GANG) {
+    if (spec.kind() == JobKind.GANG) {
       cluster.gangSizes.put(spec.id(), spec.tasks());
     }
     submitAgain(told, at);
--- a/src/test/java/io/tansystack/sim/SubmissionValidationTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionValidationTest.java
@@ -252,7 +252,7 @@
       boot(i);
     }
     loop.runFor(Duration.ofSeconds(6));
-    ObjectNode gang = good("wk-000001").put("Shape", JobKind.GANG.wire).put("Scatter", true);
+    ObjectNode gang = good("wk-000001").put("Shape", JobKind.GANG.wireName).put("Scatter", true);
     allAnswer("two zones", gang, 200, 201);
     allAnswer("bound to one of them", gang.deepCopy().put("Uid", "wk-000002").put("Yard", "a"), 422);
   }
--- a/src/test/java/io/tansystack/wire/JobSpecTest.java
+++ b/src/test/java/io/tansystack/wire/JobSpecTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Parsing of job specifications, task IDs and message bodies, and what is rejected. */
 class JobSpecTest {
-  private static final String GOOD =
+  private static final String VALID_SPEC =
       """
       {"Uid":"wk-000412","Consist":"train","Crew":"vision","Shape":"group","Urgency":"urgent",
        "Wagons":16,"Cpus":8.0,"Gpus":1.0,"MemGb":64.0,"Cargo":"img-07","PullGb":6.2,
@@ -20,20 +21,20 @@
        "TransitS":240.0,"WaypointS":30.0,"CoupleS":4.0,"DueS":900.0,"Unheard":{"of":1}}
       """;
 
-  private static ObjectNode good() throws Exception {
-    return (ObjectNode) new ObjectMapper().readTree(GOOD);
+  private static ObjectNode validSpec() throws Exception {
+    return (ObjectNode) new ObjectMapper().readTree(VALID_SPEC);
   }
 
   @Test
-  void readsTheProtocolsExampleAndIgnoresUnknownFields() throws Exception {
-    JobSpec spec = JobSpec.read(good());
+  void readsProtocolExampleAndIgnoresUnknownFields() throws Exception {
+    JobSpec spec = JobSpec.read(validSpec());
     assertEquals(16, spec.tasks());
-    assertEquals(JobKind.GANG, spec.shape());
+    assertEquals(JobKind.GANG, spec.kind());
     assertEquals(Priority.HIGH, spec.priority());
     assertEquals(spec, JobSpec.read(spec.write()));
   }
 
-  /** Every refusal names the field, so that a user can mend the submission. */
+  /** The error names the field, so that the user can correct the submission. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -44,8 +45,8 @@
         "PullGb|-0.5", "Fleets|\"g8\"", "Fleets|[1]", "Yard|5", "SamePlace|null", "SamePlace|0",
         "TransitS|-1", "DueS|\"soon\"", "CoupleS|null", "Crew|[]"
       })
-  void refusesWrongFields(String field, String json) throws Exception {
-    ObjectNode map = good();
+  void rejectsInvalidFieldAndNamesIt(String field, String json) throws Exception {
+    ObjectNode map = validSpec();
     map.set(field, new ObjectMapper().readTree(json));
     InvalidMessageException e =
         assertThrows(InvalidMessageException.class, () -> JobSpec.read(map));
@@ -54,35 +55,37 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"Fleets", "Yard", "DueS"})
-  void whatMayBeNullMayBeLeftOut(String field) throws Exception {
-    ObjectNode map = good();
+  void nullableFieldsMayBeAbsent(String field) throws Exception {
+    ObjectNode map = validSpec();
     map.remove(field);
     assertEquals("wk-000412", JobSpec.read(map).id());
   }
 
   @ParameterizedTest
   @CsvSource({"true,9,5", "true,1,1", "true,2,1", "false,4,4"})
-  void scatterAllowsHalfRoundedUpInAZone(boolean scatter, int tasks, int cap) throws Exception {
-    ObjectNode map = good().put("Scatter", scatter).put("Wagons", tasks);
-    assertEquals(cap, JobSpec.read(map).zoneCap());
+  void spreadJobMayHaveHalfItsTasksRoundedUpInOneZone(
+      boolean spread, int tasks, int maxPerZone) throws Exception {
+    ObjectNode map = validSpec().put("Scatter", spread).put("Wagons", tasks);
+    assertEquals(maxPerZone, JobSpec.read(map).maxTasksPerZone());
   }
 
   @Test
-  void bodiesThatAreNoCborMapAreBadInput() {
-    for (byte[] body : new byte[][] {{}, {(byte) 0xff}, "{\"a\":1}".getBytes(), {0x01}, {(byte) 0x80}}) {
+  void rejectsBodiesThatAreNotCborMaps() {
+    for (byte[] body :
+        new byte[][] {{}, {(byte) 0xff}, "{\"a\":1}".getBytes(), {0x01}, {(byte) 0x80}}) {
       assertThrows(InvalidMessageException.class, () -> Cbor.decodeMap(body));
     }
   }
 
   @ParameterizedTest
   @CsvSource({"wk-1/3,wk-1,3", "wk-000412/99999,wk-000412,99999"})
-  void taskNames(String text, String job, int index) throws Exception {
+  void parsesTaskIds(String text, String job, int index) throws Exception {
     assertEquals(new TaskId(job, index), TaskId.parse(text));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"wk-1", "/3", "wk-1/", "wk-1/x", "wk-1/-1", "wk-1/12345678"})
-  void wrongTaskNames(String text) {
+  void rejectsMalformedTaskIds(String text) {
     assertThrows(InvalidMessageException.class, () -> TaskId.parse(text));
   }
 }
--- a/src/test/java/io/tansystack/wire/ReportTest.java
+++ b/src/test/java/io/tansystack/wire/ReportTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Worker reports: their order, the recognition of repeated ones, and the two parsers. */
 class ReportTest {
+  // In CBOR, "dTick" is the encoded field name "Tick", so a plain search for its bytes would match
+  // this job ID.
   private static final TaskReport RUNNING =
       new TaskReport(new TaskId("wk-dTick1", 3), 2, TaskReport.State.RUNNING, null, false);
 
@@ -21,7 +24,7 @@
   }
 
   @Test
-  void readsBackAsWritten() throws Exception {
+  void writtenReportReadsBackEqual() throws Exception {
     Report report =
         report(
             2, 88, 41,
@@ -31,23 +34,28 @@
     assertEquals(report, Report.read(Cbor.decodeMap(Cbor.encode(report.write()))));
   }
 
-  /** A late report of an earlier session must not look newer for its larger sequence number. */
+  /**
+   * A late report of an earlier session must not count as newer because of its higher sequence
+   * number.
+   */
   @ParameterizedTest
   @CsvSource({"1,5,1,4,true", "1,4,1,5,false", "1,5,1,5,false", "2,1,1,99,true", "1,99,2,1,false"})
-  void orderIsBySessionThenSequence(long s1, long q1, long s2, long q2, boolean newer) {
-    assertEquals(newer, report(s1, q1, 0).newerThan(report(s2, q2, 0)));
+  void orderIsBySessionThenSequence(
+      long session1, long seq1, long session2, long seq2, boolean newer) {
+    assertEquals(newer, report(session1, seq1, 0).newerThan(report(session2, seq2, 0)));
   }
 
   /**
-   * A report that repeats the one before is known by its bytes. Whatever else may change in it, and
-   * whatever the order of its fields, must be read as a whole.
+   * A report that differs from the one before only in its sequence number is recognized by its
+   * bytes. If anything else has changed, or the order of the fields doesn't allow the sequence
+   * number to be located, the whole report must be decoded.
    */
   @ParameterizedTest
   @CsvSource({
     "Tick 89, true", "Tick 70000, true", "Baton 42, false", "Shift 3, false", "Berth n-2, false",
     "RecallS 3.5, false", "last Tick, false", "first Wagons, false"
   })
-  void aRepeatedReportIsKnownByItsBytes(String change, boolean same) {
+  void recognizesRepeatedReportByItsBytes(String change, boolean same) {
     ObjectNode before = report(2, 88, 41, RUNNING).write();
     ObjectNode after = before.deepCopy();
     String[] words = change.split(" ");
@@ -62,17 +70,24 @@
       }
       default -> after.put(words[0], Long.parseLong(words[1]));
     }
-    byte[] one = Cbor.encode(before);
-    byte[] two = Cbor.encode(after);
-    ReportHeader head = ReportHeader.read(two);
-    assertEquals(same, head != null && head.sameRest(two, ReportHeader.read(one), one));
+    byte[] bytesBefore = Cbor.encode(before);
+    byte[] bytesAfter = Cbor.encode(after);
+    ReportHeader header = ReportHeader.read(bytesAfter);
+    assertEquals(
+        same,
+        header != null
+            && header.equalsExceptSequence(
+                bytesAfter, ReportHeader.read(bytesBefore), bytesBefore));
     if (same) {
-      assertEquals(after.get("Tick").longValue(), head.seq());
-      assertEquals("n-1", head.machine());
+      assertEquals(after.get("Tick").longValue(), header.seq());
+      assertEquals("n-1", header.machine());
     }
   }
 
-  /** Read as a stream, a report is what it is as a tree; what is not ordinary is left to the tree. */
+  /**
+   * The streaming parser must return the same report as the tree parser, or null for input that it
+   * leaves to the tree parser.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -96,16 +111,17 @@
           text       | {"Shift":"2"}                                   | false
           bad name   | {"Berth":"a b"}                                 | false
           """)
-  void aStreamIsReadAsATreeIs(String name, String changes, boolean ordinary) throws Exception {
+  void streamingParserAgreesWithTreeParser(
+      String name, String changes, boolean parsedAsStream) throws Exception {
     ObjectNode map = report(2, 88, 41, RUNNING).write();
     if (changes != null) {
       map.setAll((ObjectNode) new ObjectMapper().readTree(changes));
     }
     byte[] body = Cbor.encode(map);
-    Report stream = StreamingReportParser.read(body);
-    assertEquals(ordinary, stream != null, name);
-    if (ordinary) {
-      assertEquals(Report.read(Cbor.decodeMap(body)), stream, name);
+    Report parsed = StreamingReportParser.read(body);
+    assertEquals(parsedAsStream, parsed != null, name);
+    if (parsedAsStream) {
+      assertEquals(Report.read(Cbor.decodeMap(body)), parsed, name);
     }
     assertNull(StreamingReportParser.read(Arrays.copyOf(body, body.length - 3)), "cut off");
   }
--- a/src/test/java/io/tansystack/wire/ThrottledLoggerTest.java
+++ b/src/test/java/io/tansystack/wire/ThrottledLoggerTest.java
@@ -7,22 +7,25 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
+/** Guards against a log that is flooded with lines about unreadable messages. */
 class ThrottledLoggerTest {
-  private long now = Long.MAX_VALUE - 1000; // The clock it uses may start anywhere, and run over.
+  // System.nanoTime may start at any value and overflow.
+  private long now = Long.MAX_VALUE - 1000;
 
   @Test
-  void aFloodIsToldOnceInAWhileAndCounted() {
-    ThrottledLogger malformed =
+  void logsFloodOncePerIntervalWithCountOfSuppressed() {
+    ThrottledLogger logger =
         new ThrottledLogger(LoggerFactory.getLogger(ThrottledLoggerTest.class), () -> now);
-    assertEquals("report: Shift: missing", malformed.line("report", "Shift: missing"));
+    assertEquals("report: Shift: missing", logger.nextLine("report", "Shift: missing"));
     for (int i = 0; i < 1000; i++) {
       now += Duration.ofMillis(4).toNanos();
-      assertNull(malformed.line("report", "Shift: missing"));
+      assertNull(logger.nextLine("report", "Shift: missing"));
     }
     now += Duration.ofMillis(1001).toNanos();
     assertEquals(
-        "list: not a map (and 1000 more that could not be read)", malformed.line("list", "not a map"));
-    now += ThrottledLogger.EVERY.toNanos();
-    assertEquals("list: not a map", malformed.line("list", "not a map"));
+        "list: not a map (and 1000 more that could not be read)",
+        logger.nextLine("list", "not a map"));
+    now += ThrottledLogger.MIN_INTERVAL.toNanos();
+    assertEquals("list: not a map", logger.nextLine("list", "not a map"));
   }
 }
--- a/src/test/java/io/tansystack/workers/TerminationProofsTest.java
+++ b/src/test/java/io/tansystack/workers/TerminationProofsTest.java
@@ -167,7 +167,7 @@
               MachineRecord::version,
               2);
       assertEquals(Math.min(2, record.placements().size()), proofs.conditions().size());
-      record = record.absorbed(proofs.ended());
+      record = record.withProofsApplied(proofs.ended());
     }
     assertEquals(3, transactions);
   }
@@ -204,7 +204,7 @@
     MachineView back = MachineView.read(view.write());
     assertEquals(Set.copyOf(tasks), Set.copyOf(back.report().tasks()));
     assertEquals(30, back.report().tasks().size());
-    assertEquals(view.report().without(), back.report().without());
+    assertEquals(view.report().withoutTasks(), back.report().withoutTasks());
     MachineView nothing = view(2, TOKEN, List.of());
     assertEquals(Set.of("wk-1"), view.jobsWithNewProofs(nothing));
     assertEquals(
