--- a/src/main/java/io/tansystack/cli/Controller.java
+++ b/src/main/java/io/tansystack/cli/Controller.java
@@ -39,52 +39,61 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: its duties, wired together on one loop. */
+/** One controller: creates and connects its components on one event loop and routes requests. */
 public final class Controller {
   private static final Logger log = LoggerFactory.getLogger(Controller.class);
 
-  /** Other controllers may need less than their part of the write limit. */
-  private static final double OVERCOMMIT = 1.8;
+  /** A controller may write more than an equal share, since others may need less than theirs. */
+  private static final double WRITE_OVERCOMMIT = 1.8;
 
-  /** A single planner leaves room for submissions elsewhere. */
-  private static final double MOST_OF_WRITES = 0.75;
+  /** A single planner leaves the rest of the write limit to submissions at other controllers. */
+  private static final double MAX_WRITE_FRACTION = 0.75;
 
-  private static final Duration SUMMARY_EVERY = Duration.ofSeconds(30);
+  /** Watch requests of all controllers may take this part of the state service's request limit. */
+  private static final double WATCH_FRACTION = 0.2;
+
+  /** The state service counts as not responding if no request has succeeded for this long. */
+  private static final long MAX_SILENCE_MS = 3500;
+
+  private static final Duration SUMMARY_INTERVAL = Duration.ofSeconds(30);
 
   private final EventLoop loop;
   private final PlatformSettings settings;
-  private final String boot;
-  private final ClusterState world;
+  private final String incarnation;
+  private final ClusterState clusterState;
   private final StoreClient store;
   private final Watcher watcher;
-  private final StallDetector stall;
+  private final StallDetector stallDetector;
   private final ControllerLease lease;
   private final PeerLink peers;
-  private final SlotManager slots;
-  private final MachineTypeCatalog types;
-  private final WorkerManager desk;
-  private final JobScheduler jobs;
-  private final Autoscaler fleet;
-  private final UserApi users;
-  private final RecordGarbageCollector sweep;
-  private final JobHealthMonitor overseer;
-  private final StartupLogger start;
+  private final SlotManager slotManager;
+  private final MachineTypeCatalog machineTypes;
+  private final WorkerManager workerManager;
+  private final JobScheduler scheduler;
+  private final Autoscaler autoscaler;
+  private final UserApi userApi;
+  private final RecordGarbageCollector garbageCollector;
+  private final JobHealthMonitor healthMonitor;
+  private final StartupLogger startupLogger;
   private final Latencies latencies;
+
+  /** The newest view of each machine, by machine name. */
   private final Map<String, MachineView> views = new HashMap<>();
-  private Duration heardUntil;
+
+  private Duration lastTick;
   private long ticks;
 
-  /** Whether this controller has been entitled to act since it started. */
-  private boolean acted;
+  /** Whether the lease has been valid at any time since this process started. */
+  private boolean hasBeenValid;
 
-  /** Whether it was entitled to act when that was logged last. */
+  /** Validity of the lease as logged last. */
   private boolean loggedValid;
 
-  private final byte[] empty = Cbor.encode(Cbor.map());
+  private final byte[] emptyBody = Cbor.encode(Cbor.map());
 
   public Controller(
       EventLoop loop,
-      HttpClient caller,
+      HttpClient httpClient,
       PlatformSettings settings,
       OperatorSettings operator,
       InstantSource clock,
@@ -93,153 +102,138 @@
     this.settings = settings;
     this.latencies = new Latencies(loop);
     String label = settings.label();
-    this.boot = Long.toHexString(random.nextLong());
-    this.stall = new StallDetector(loop);
-    double writes = settings.store().writeRps();
-    int size = settings.size();
-    double share = writeShare(size);
+    this.incarnation = Long.toHexString(random.nextLong());
+    this.stallDetector = new StallDetector(loop);
+    double writeRps = settings.stateServiceLimits().writeRps();
+    int controllerCount = settings.controllerCount();
+    double share = writeShare(controllerCount);
     this.store =
         new StoreClient(
-            caller,
+            httpClient,
             loop,
-            settings.state(),
+            settings.stateServiceAddress(),
             new RateBudget(share, Math.max(2, share), loop.now()),
             random);
-    this.world = new ClusterState(this::worldChanged);
-    double watches = settings.store().rps() * 0.2 / size;
+    this.clusterState = new ClusterState(this::onClusterStateChange);
+    double watchesPerSecond =
+        settings.stateServiceLimits().rps() * WATCH_FRACTION / controllerCount;
     this.watcher =
         new Watcher(
             store,
             loop,
             ClusterState.PREFIX,
-            Duration.ofMillis((long) (1000 / watches)),
-            world,
-            this::synced);
-    Duration life =
-        ControllerLease.leaseDurationFor(settings.workers().cancel(), settings.workers().lease());
-    Duration recordLife = ControllerLease.recordTtlFor(life, settings.workers().lease());
+            Duration.ofMillis((long) (1000 / watchesPerSecond)),
+            clusterState,
+            this::onSynced);
+    Duration leaseDuration =
+        ControllerLease.leaseDurationFor(
+            settings.workerTimings().cancelDeadline(), settings.workerTimings().leaseDuration());
+    Duration recordTtl =
+        ControllerLease.recordTtlFor(leaseDuration, settings.workerTimings().leaseDuration());
     this.lease =
         new ControllerLease(
-            store,
-            loop,
-            label,
-            boot,
-            settings.zone(),
-            life,
-            recordLife,
-            watcher,
-            stall);
+            store, loop, label, incarnation, settings.zone(), leaseDuration, recordTtl, watcher,
+            stallDetector);
     this.peers =
         new PeerLink(
-            caller,
-            loop,
-            label,
-            boot,
-            settings.peers(),
-            this::useful,
-            this::deaf,
-            this::viewFromPeer,
-            this::told,
-            this::fleetNews,
-            this::heardOfFleet,
-            this::informed);
-    this.slots = new SlotManager(loop, store, world, lease, label, boot, size, peers::looksDown);
+            httpClient, loop, label, incarnation, settings.peers(), this::ableToSchedule,
+            this::isolatedFromWorkers, this::onPeerView, this::publishedViews,
+            this::autoscalerUpdate, this::onAutoscalerUpdate, this::viewSubscribers);
+    this.slotManager =
+        new SlotManager(
+            loop, store, clusterState, lease, label, incarnation, controllerCount,
+            peers::looksDown);
     RecoveryContext recovery =
         RecoveryContext.of(
-            loop,
-            store,
-            world,
-            settings,
-            clock,
-            recordLife,
+            loop, store, clusterState, settings, clock, recordTtl,
             new RecoveryContext.PeerHealth(
                 peers::unfitForWorkers, peers::heardFrom, peers::refusesConnections, peers::unresponsive));
-    this.types = new MachineTypeCatalog(loop, store, world, caller, settings);
-    this.desk =
+    this.machineTypes = new MachineTypeCatalog(loop, store, clusterState, httpClient, settings);
+    this.workerManager =
         new WorkerManager(
-            loop,
-            store,
-            caller,
-            world,
-            lease,
-            label,
-            boot,
-            settings.zone(),
-            settings.workers().lease(),
-            writes,
-            peers::unfitForWorkers,
-            recovery,
-            watcher::upToDateBeforeLastUpdate,
-            new WallClockConverter(loop, clock, settings.skew()),
-            types::get,
-            views::get,
-            this::viewOfOwn);
-    this.jobs =
+            loop, store, httpClient, clusterState, lease, label, incarnation, settings.zone(),
+            settings.workerTimings().leaseDuration(), writeRps, peers::unfitForWorkers, recovery,
+            watcher::upToDateBeforeLastUpdate, new WallClockConverter(loop, clock, settings.maxClockSkew()),
+            machineTypes::get, views::get, this::onOwnView);
+    this.scheduler =
         new JobScheduler(
-            loop, store, world, lease, slots, settings, views::get, types::get, this::booting,
-            pass -> latencies.measure("pass", pass), clock, recovery.fleetCoverage(),
-            peer -> peers.heardFrom(peer) && !peers.unfitForWorkers(peer));
-    this.fleet =
+            loop, store, clusterState, lease, slotManager, settings, views::get,
+            machineTypes::get, this::bootingMachines, pass -> latencies.measure("pass", pass),
+            clock, recovery.fleetCoverage(), peer -> peers.heardFrom(peer) && !peers.unfitForWorkers(peer));
+    this.autoscaler =
         new Autoscaler(
-            loop, caller, store, world, lease, stall, slots, types, settings, operator, desk,
-            views::get, jobs, recovery.fleetCoverage());
-    this.users =
+            loop, httpClient, store, clusterState, lease, stallDetector, slotManager,
+            machineTypes, settings, operator, workerManager, views::get, scheduler,
+            recovery.fleetCoverage());
+    this.userApi =
         new UserApi(
-            loop, store, world, settings, boot, clock, types::all, this::storeAnswers,
-            watcher::confirmUpToDate);
-    this.sweep = new RecordGarbageCollector(loop, store, world, lease, slots);
-    this.start = new StartupLogger(loop, world, label, recovery, desk::startupCounts);
-    this.overseer =
+            loop, store, clusterState, settings, incarnation, clock, machineTypes::all,
+            this::stateServiceResponds, watcher::confirmUpToDate);
+    this.garbageCollector =
+        new RecordGarbageCollector(loop, store, clusterState, lease, slotManager);
+    this.startupLogger =
+        new StartupLogger(loop, clusterState, label, recovery, workerManager::startupCounts);
+    this.healthMonitor =
         new JobHealthMonitor(
             loop,
             clock,
-            world,
-            slots,
-            id -> jobs.lastPlan().unmet().stream().anyMatch(u -> u.job().equals(id)));
-    log.info("controller {} boot {} in {}: acts for {} after it is cut off", label, boot, settings.zone(), life);
+            clusterState,
+            slotManager,
+            id -> scheduler.lastPlan().unmet().stream().anyMatch(u -> u.job().equals(id)));
+    log.info(
+        "controller {} boot {} in {}: continues for up to {} after losing the state service",
+        label, incarnation, settings.zone(), leaseDuration);
   }
 
   public void start() {
-    heardUntil = loop.now();
+    lastTick = loop.now();
     watcher.start();
     lease.start();
-    types.start();
+    machineTypes.start();
     peers.start();
-    slots.start();
-    fleet.start();
-    sweep.start();
-    overseer.start();
+    slotManager.start();
+    autoscaler.start();
+    garbageCollector.start();
+    healthMonitor.start();
     tick();
-    summarise();
+    logSummary();
   }
 
   private void tick() {
     loop.after(Duration.ofMillis(500), this::tick);
-    stall.check();
-    if (heardUntil.compareTo(stall.runningSince()) < 0) {
+    stallDetector.check();
+    if (lastTick.compareTo(stallDetector.runningSince()) < 0) {
       peers.restartSilenceTimers();
-      desk.restartSilenceTimers();
+      workerManager.restartSilenceTimers();
     }
-    heardUntil = loop.now();
+    lastTick = loop.now();
     ticks++;
     logValidity();
-    store.setWriteRate(writeShare(slots.isPlanner() ? slots.plannerCount() : settings.size()));
+    store.setWriteRate(
+        writeShare(
+            slotManager.isPlanner() ? slotManager.plannerCount() : settings.controllerCount()));
     if (ticks % 2 == 0) {
-      desk.tick();
+      workerManager.tick();
     }
-    if (world.loaded()) {
-      if (world.revision() >= lease.registrationRevision() && !world.alive(settings.label(), boot)) {
+    if (clusterState.loaded()) {
+      if (clusterState.revision() >= lease.registrationRevision()
+          && !clusterState.alive(settings.label(), incarnation)) {
         lease.recordLost();
       }
-      views.keySet().removeIf(name -> world.machine(name) == null && desk.silentFor(name) == null);
-      jobs.requestPass();
-      if (lease.valid() && world.alive(settings.label(), boot)) {
-        start.tick();
+      views
+          .keySet()
+          .removeIf(m -> clusterState.machine(m) == null && workerManager.silentFor(m) == null);
+      scheduler.requestPass();
+      if (lease.valid() && clusterState.alive(settings.label(), incarnation)) {
+        startupLogger.tick();
       }
     }
   }
 
-  /** Workers' answers, commands and departures rest on it. */
+  /**
+   * Logs when the lease becomes valid or invalid. Only with a valid one does this controller answer
+   * workers, send commands and declare machines gone.
+   */
   private void logValidity() {
     if (lease.valid() != loggedValid) {
       loggedValid = !loggedValid;
@@ -247,106 +241,115 @@
     }
   }
 
-  /** Its part of the write limit, shared with so many others; those who plan write most of it. */
-  private double writeShare(int among) {
-    double writes = settings.store().writeRps();
-    return settings.size() == 1
-        ? writes
-        : Math.min(writes * MOST_OF_WRITES, writes / among * OVERCOMMIT);
+  /**
+   * This controller's part of the state service's write limit.
+   *
+   * @param sharers number of controllers among which the limit is divided: all of them, or for a
+   *     planner only the planners, since they do most of the writes
+   */
+  private double writeShare(int sharers) {
+    double writeRps = settings.stateServiceLimits().writeRps();
+    return settings.controllerCount() == 1
+        ? writeRps
+        : Math.min(writeRps * MAX_WRITE_FRACTION, writeRps / sharers * WRITE_OVERCOMMIT);
   }
 
-  private void summarise() {
-    loop.after(SUMMARY_EVERY, this::summarise);
+  private void logSummary() {
+    loop.after(SUMMARY_INTERVAL, this::logSummary);
     log.info(
         "summary jobs={} machines={} idle={} closed={} unmet={} owned={} valid={} plans={} stalls={} {} count/p50/p99/max{}",
-        world.jobs().size(),
-        world.machines().size(),
-        world.machines().keySet().stream().filter(m -> world.placedOn(m).isEmpty()).count(),
-        jobs.lastSnapshot().machines().stream().filter(m -> !m.acceptsTasks()).count(),
-        jobs.lastPlan().unmet().size(),
-        desk.ownedMachines().size(),
+        clusterState.jobs().size(),
+        clusterState.machines().size(),
+        clusterState.machines().keySet().stream()
+            .filter(m -> clusterState.placedOn(m).isEmpty())
+            .count(),
+        scheduler.lastSnapshot().machines().stream().filter(m -> !m.acceptsTasks()).count(),
+        scheduler.lastPlan().unmet().size(),
+        workerManager.ownedMachines().size(),
         lease.valid(),
-        slots.isPlanner(),
-        stall.stallCount(),
+        slotManager.isPlanner(),
+        stallDetector.stallCount(),
         lease.describe(),
-        latencies.summary());
+        latencies.summaryAndReset());
   }
 
-  private void worldChanged(ClusterStateDelta touched) {
+  private void onClusterStateChange(ClusterStateDelta delta) {
     latencies.measure(
         "change",
         () -> {
-          slots.tick();
-          jobs.onClusterStateChange(touched);
-          desk.onClusterStateChange(touched);
+          slotManager.tick();
+          scheduler.onClusterStateChange(delta);
+          workerManager.onClusterStateChange(delta);
         });
-    jobs.requestPass();
+    scheduler.requestPass();
   }
 
-  private void synced(Duration at) {
-    users.onUpToDate(at);
+  private void onSynced(Duration upToDateAsOf) {
+    userApi.onUpToDate(upToDateAsOf);
   }
 
-  private ObjectNode fleetNews() {
-    return fleet.bootingUpdate();
+  private ObjectNode autoscalerUpdate() {
+    return autoscaler.bootingUpdate();
   }
 
-  private boolean deaf() {
-    return desk.isolatedFromWorkers();
+  private boolean isolatedFromWorkers() {
+    return workerManager.isolatedFromWorkers();
   }
 
-  private Set<String> informed() {
-    return slots.viewSubscribers();
+  private Set<String> viewSubscribers() {
+    return slotManager.viewSubscribers();
   }
 
-  private void heardOfFleet(ObjectNode news) {
-    fleet.onBootingUpdate(news);
+  private void onAutoscalerUpdate(ObjectNode update) {
+    autoscaler.onBootingUpdate(update);
   }
 
-  private List<MachineState> booting() {
-    return fleet.booting();
+  private List<MachineState> bootingMachines() {
+    return autoscaler.booting();
   }
 
-  private void viewOfOwn(MachineView view) {
-    keep(view);
+  private void onOwnView(MachineView view) {
+    storeIfNewer(view);
     peers.publish(view);
   }
 
-  private List<MachineView> told() {
-    return desk.publishedViews();
+  private List<MachineView> publishedViews() {
+    return workerManager.publishedViews();
   }
 
-  private void viewFromPeer(MachineView view) {
-    // What we own we know better ourselves.
-    if (desk.silentFor(view.report().machine()) == null) {
-      keep(view);
+  private void onPeerView(MachineView view) {
+    // Of the machines that this controller owns, its own views are newer.
+    if (workerManager.silentFor(view.report().machine()) == null) {
+      storeIfNewer(view);
     }
   }
 
-  private void keep(MachineView view) {
-    MachineView old = views.get(view.report().machine());
-    if (old == null || view.newerThan(old)) {
+  private void storeIfNewer(MachineView view) {
+    MachineView previous = views.get(view.report().machine());
+    if (previous == null || view.newerThan(previous)) {
       views.put(view.report().machine(), view);
-      jobs.onViewChange(old, view);
+      scheduler.onViewChange(previous, view);
     }
   }
 
-  /** Serves the front address: users, workers and health checks. */
-  public void front(String method, String path, byte[] body, Reply reply) {
+  /** Handles a request to the front address, from a user, a worker or a health check. */
+  public void handleFront(String method, String path, byte[] body, Reply reply) {
     boolean get = method.equals("GET");
     boolean post = method.equals("POST");
     if (post && path.equals("/v1/report")) {
-      desk.handleReport(body, latencies.timed("report", reply));
+      workerManager.handleReport(body, latencies.timed("report", reply));
     } else if (get && path.equals("/up")) {
-      reply.send(ready() ? 200 : 503, empty);
+      reply.send(ready() ? 200 : 503, emptyBody);
     } else if (post && path.equals("/v1/jobs")) {
-      users.submit(body, latencies.timed("submit", reply));
+      userApi.submit(body, latencies.timed("submit", reply));
     } else if (path.startsWith("/v1/jobs/")) {
-      String rest = path.substring("/v1/jobs/".length());
+      String jobPath = path.substring("/v1/jobs/".length());
       if (get) {
-        users.poll(rest, latencies.timed("poll", reply));
-      } else if (post && rest.endsWith("/abort")) {
-        users.abort(rest.substring(0, rest.length() - "/abort".length()), latencies.timed("abort", reply));
+        userApi.poll(jobPath, latencies.timed("poll", reply));
+      } else if (post && jobPath.endsWith("/abort")) {
+        userApi.abort(
+            jobPath.substring(0, jobPath.length() - "/abort".length()),
+            latencies.timed("abort", reply));
       } else {
         reply.send(405, Cbor.encode(Responses.error("no such method")));
       }
@@ -355,35 +358,37 @@
     }
   }
 
-  /** Serves the peer address. */
-  public void peer(String method, String path, byte[] body, Reply reply) {
+  /** Handles a request to the peer address, from another controller. */
+  public void handlePeer(String method, String path, byte[] body, Reply reply) {
     latencies.measure("peer", () -> peers.handle(method, path, body, reply));
   }
 
   /**
-   * Whether users should come here. With the state service silent for this controller alone they had
-   * better go to another; if nobody reaches it, moving them around helps nobody. One that hears of no
-   * other controller either is the one that is cut off.
+   * Whether users should be sent to this controller. If it alone gets no response from the state
+   * service, they are better served by another one; if no controller reaches the state service,
+   * sending them elsewhere has no use. A controller that hears from no other controller either
+   * counts as the one that is cut off.
    */
   private boolean ready() {
-    if (!world.loaded() || !lease.registered()) {
+    if (!clusterState.loaded() || !lease.registered()) {
       return false;
     }
-    return storeAnswers() || (peers.heardFromAnyPeer() && !peers.anyPeerCanSchedule());
+    return stateServiceResponds() || (peers.heardFromAnyPeer() && !peers.anyPeerCanSchedule());
   }
 
-  private boolean storeAnswers() {
-    return loop.now().minus(store.lastSuccess()).compareTo(Duration.ofMillis(3500)) < 0;
+  private boolean stateServiceResponds() {
+    return loop.now().minus(store.lastSuccess()).compareTo(Duration.ofMillis(MAX_SILENCE_MS)) < 0;
   }
 
   /**
-   * What the peers are told. A controller that the state service alone has left says so long before
-   * its lease ends: it can't place anything, and others can take its slots at once. One that starts is
-   * about to act: nothing need be taken from it.
+   * The validity that is reported to the peers. A controller that has lost only the state service
+   * reports itself as invalid long before its lease ends: it can't place anything, and others can
+   * take its slots at once. A controller that is starting up reports itself as valid: its lease
+   * will be valid soon, so nothing need be taken from it.
    */
-  private boolean useful() {
+  private boolean ableToSchedule() {
     boolean valid = lease.valid();
-    acted |= valid;
-    return (valid || !acted) && storeAnswers();
+    hasBeenValid |= valid;
+    return (valid || !hasBeenValid) && stateServiceResponds();
   }
 }
--- a/src/main/java/io/tansystack/cli/ControllerProcess.java
+++ b/src/main/java/io/tansystack/cli/ControllerProcess.java
@@ -18,13 +18,15 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The controller as a process: one XNIO worker with one I/O thread carries all of it. */
+/** Runs a controller in this process, all of it on one XNIO worker with one I/O thread. */
 final class ControllerProcess {
   private static final Logger log = LoggerFactory.getLogger(ControllerProcess.class);
-  private static final int BUFFER = 8192;
+  private static final int BUFFER_BYTES = 8192;
+  private static final int MAX_CONNECTIONS_PER_ADDRESS = 12;
 
   private ControllerProcess() {}
 
+  /** Starts the controller and returns; the worker's threads keep the process running. */
   static void run(PlatformSettings settings, OperatorSettings operator) throws IOException {
     XnioWorker worker =
         Xnio.getInstance(ControllerProcess.class.getClassLoader())
@@ -37,20 +39,22 @@
                     .set(Options.STACK_SIZE, 256L * 1024)
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
-    DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER, 64, 0);
+    DefaultByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER_BYTES, 64, 0);
     XnioEventLoop loop = new XnioEventLoop(worker.getIoThread());
-    UndertowHttpClient caller = new UndertowHttpClient(worker.getIoThread(), loop, buffers, 12);
+    UndertowHttpClient httpClient =
+        new UndertowHttpClient(
+            worker.getIoThread(), loop, buffers, MAX_CONNECTIONS_PER_ADDRESS);
     Random random = new Random(new SecureRandom().nextLong() ^ System.nanoTime());
     Controller controller =
-        new Controller(loop, caller, settings, operator, InstantSource.system(), random);
+        new Controller(loop, httpClient, settings, operator, InstantSource.system(), random);
     HttpServer server =
         new HttpServer(
             worker,
             buffers,
             settings.front(),
-            controller::front,
+            controller::handleFront,
             settings.peerBind(),
-            controller::peer,
+            controller::handlePeer,
             PeerLink.MAX_BODY);
     server.start();
     loop.execute(controller::start);
--- a/src/main/java/io/tansystack/cli/Latencies.java
+++ b/src/main/java/io/tansystack/cli/Latencies.java
@@ -7,53 +7,56 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** How long answers and the loop's duties take, by kind, summed up now and then in one line. */
+/** Durations of responses and event loop tasks by kind, reported in the summary log line. */
 final class Latencies {
-  private static final long HIGHEST_MICROS = 60_000_000;
+  private static final long MAX_MICROS = 60_000_000;
   private final EventLoop loop;
-  private final Map<String, Histogram> kinds = new TreeMap<>();
+  private final Map<String, Histogram> histograms = new TreeMap<>();
 
   Latencies(EventLoop loop) {
     this.loop = loop;
   }
 
-  /** A reply that measures itself. */
+  /** Returns a reply that records the time from now until it is sent. */
   Reply timed(String kind, Reply reply) {
-    Duration since = loop.now();
+    Duration start = loop.now();
     return (status, body, retryAfterS) -> {
-      record(kind, since);
+      record(kind, start);
       reply.send(status, body, retryAfterS);
     };
   }
 
-  /** Runs a duty of the loop and records how long it held the loop up. */
-  void measure(String kind, Runnable duty) {
-    Duration since = loop.now();
-    duty.run();
-    record(kind, since);
+  /** Runs the task and records how long it occupied the event loop. */
+  void measure(String kind, Runnable task) {
+    Duration start = loop.now();
+    task.run();
+    record(kind, start);
   }
 
-  private void record(String kind, Duration since) {
-    long micros = loop.now().minus(since).toNanos() / 1000;
-    kinds
-        .computeIfAbsent(kind, k -> new Histogram(HIGHEST_MICROS, 2))
-        .recordValue(Math.max(0, Math.min(HIGHEST_MICROS, micros)));
+  private void record(String kind, Duration start) {
+    long micros = loop.now().minus(start).toNanos() / 1000;
+    histograms
+        .computeIfAbsent(kind, k -> new Histogram(MAX_MICROS, 2))
+        .recordValue(Math.max(0, Math.min(MAX_MICROS, micros)));
   }
 
-  /** Count, median, 99th percentile and maximum of each kind in milliseconds; starts anew. */
-  String summary() {
+  /**
+   * Returns count, median, 99th percentile and maximum of each kind since the last call, in
+   * milliseconds.
+   */
+  String summaryAndReset() {
     StringBuilder text = new StringBuilder();
-    kinds.forEach(
-        (kind, h) -> {
+    histograms.forEach(
+        (kind, histogram) -> {
           text.append(
               String.format(
                   " %s=%d/%.1f/%.1f/%.1fms",
                   kind,
-                  h.getTotalCount(),
-                  h.getValueAtPercentile(50) / 1000.0,
-                  h.getValueAtPercentile(99) / 1000.0,
-                  h.getMaxValue() / 1000.0));
-          h.reset();
+                  histogram.getTotalCount(),
+                  histogram.getValueAtPercentile(50) / 1000.0,
+                  histogram.getValueAtPercentile(99) / 1000.0,
+                  histogram.getMaxValue() / 1000.0));
+          histogram.reset();
         });
     return text.toString();
   }
--- a/src/main/java/io/tansystack/cli/Main.java
+++ b/src/main/java/io/tansystack/cli/Main.java
@@ -13,51 +13,55 @@
 import picocli.CommandLine.Spec;
 import picocli.CommandLine;
 
-/** The command line of the service. */
+/** Command line of the service. */
 @Command(
     name = "tansystack",
     mixinStandardHelpOptions = true,
     version = "tansystack 0.1.0",
     description = "Runs one controller of the tansystack cluster scheduler until it is killed.")
 public final class Main implements Callable<Integer> {
-  private static final int RUNNING = -1;
+  /** Not an exit code: the controller has started, and the process keeps running. */
+  private static final int KEEP_RUNNING = -1;
+
   private static final int CANNOT_START = 1;
   private static final int BAD_SETTINGS = 2;
 
   @Option(
       names = "--config",
       paramLabel = "FILE",
-      description = "the settings file that the platform hands over (TOML)")
-  private Path config;
+      description = "settings file that the platform provides (TOML)")
+  private Path platformFile;
 
   @Option(
       names = "--operator",
       paramLabel = "FILE",
-      description = "the operators' own settings (TOML); every key has a default")
+      description = "settings file of the operators (TOML); every key has a default")
   private Path operatorFile;
 
   @Option(
       names = "--check",
-      description = "check the settings and exit: 0 if they are usable, 2 with the key if not")
+      description = "check the settings and exit: 0 if valid, 2 with the invalid key if not")
   private boolean checkOnly;
 
   @Option(
       names = "--exit-after",
       paramLabel = "SECONDS",
-      description = "run for so long and exit with 0: the build makes the class-data archive this way")
+      description =
+          "run for this many seconds and exit with 0; the build uses it to create the class-data"
+              + " archive")
   private Double exitAfterS;
 
   @Spec private CommandSpec command;
 
   @Override
   public Integer call() throws InterruptedException {
-    if (config == null) {
+    if (platformFile == null) {
       throw new CommandLine.ParameterException(
           command.commandLine(), "Missing required option: '--config=FILE'");
     }
     try {
       Logging.configure(System.getenv("LOG_LEVEL"));
-      PlatformSettings platform = PlatformSettings.load(config);
+      PlatformSettings platform = PlatformSettings.load(platformFile);
       OperatorSettings operator =
           operatorFile == null ? OperatorSettings.defaults() : OperatorSettings.load(operatorFile);
       if (checkOnly) {
@@ -69,7 +73,7 @@
         Thread.sleep((long) (exitAfterS * 1000));
         return 0;
       }
-      return RUNNING;
+      return KEEP_RUNNING;
     } catch (SettingsException e) {
       System.err.println("tansystack: " + e.getMessage());
       return BAD_SETTINGS;
@@ -82,11 +86,11 @@
   public static void main(String[] args) {
     CommandLine commandLine = new CommandLine(new Main());
     if (!List.of(args).contains("--config")) {
-      // A controller starts on a fraction of a core and loads nothing that it does not need.
+      // A controller starts on a fraction of a core, so it loads no classes of the scale command.
       commandLine.addSubcommand(new ScaleCommand());
     }
     int code = commandLine.execute(args);
-    if (code != RUNNING) {
+    if (code != KEEP_RUNNING) {
       System.exit(code);
     }
   }
--- a/src/main/java/io/tansystack/cli/ScaleCommand.java
+++ b/src/main/java/io/tansystack/cli/ScaleCommand.java
@@ -15,58 +15,67 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs controllers of this build against emulators at a size of one's choice. */
+/** Runs controllers of this build against emulators, at a configurable size. */
 @Command(
     name = "scale",
     mixinStandardHelpOptions = true,
     description = {
-      "Plays controllers of this build, as real processes, against emulated workers, users, cloud"
-          + " and state service on loopback addresses, and prints what each role needs.",
-      "Exits with 0, with 1 if a rule was broken or the run could not be played, and with 2 for"
-          + " settings that can't be used."
+      "Runs controllers of this build, as real processes, against emulated workers, users, cloud"
+          + " and state service on loopback addresses, and prints the resource use of each role.",
+      "Exits with 0 on success, with 1 if a rule was violated or the run failed, and with 2 for"
+          + " invalid settings."
     })
 final class ScaleCommand implements Callable<Integer> {
-  private static final int BROKEN = 1;
+  private static final int FAILED = 1;
   private static final int BAD_SETTINGS = 2;
 
   @Option(
       names = "--settings",
       paramLabel = "FILE",
-      description = "settings of the run (TOML); the defaults are the whole planned size")
+      description = "settings of the run (TOML); the defaults are the full planned size")
   private Path settingsFile;
 
-  @Option(names = "--cells", description = "regions, in place of the settings' number")
+  @Option(names = "--cells", description = "number of cells (regions), overrides the settings")
   private Integer cells;
 
-  @Option(names = "--workers", description = "workers of all cells together")
+  @Option(
+      names = "--workers",
+      description = "number of workers over all cells, overrides the settings")
   private Integer workers;
 
-  @Option(names = "--controllers", description = "controllers of all cells together")
+  @Option(
+      names = "--controllers",
+      description = "number of controllers over all cells, overrides the settings")
   private Integer controllers;
 
-  @Option(names = "--starts", description = "task starts a second that users ask for, of all cells")
+  @Option(
+      names = "--starts",
+      description = "requested task starts per second over all cells, overrides the settings")
   private Double starts;
 
   @Option(
       names = "--deploy",
       paramLabel = "FILE",
       defaultValue = "deploy/service.toml",
-      description = "the file with the run line (default: ${DEFAULT-VALUE})")
+      description = "file with the command line of a controller (default: ${DEFAULT-VALUE})")
   private Path deployFile;
 
   @Option(
       names = "--folder",
       paramLabel = "DIR",
-      description = "for settings and logs of the processes (default: a new temporary one)")
+      description = "for settings and logs of the processes (default: a new temporary directory)")
   private Path folder;
 
-  @Option(names = "--out", paramLabel = "FILE", description = "also write the result there, as JSON")
-  private Path out;
+  @Option(
+      names = "--out",
+      paramLabel = "FILE",
+      description = "also write the result to this file, as JSON")
+  private Path resultFile;
 
   @Option(
       names = "--cell",
       hidden = true,
-      description = "the number of the only cell, for a process started by another scale run")
+      description = "index of the only cell, for a process started by another scale run")
   private int cell;
 
   @Override
@@ -76,39 +85,43 @@
       ScaleSettings settings =
           (settingsFile == null ? ScaleSettings.defaults() : ScaleSettings.load(settingsFile))
               .sized(cells, workers, controllers, starts);
-      Path place = folder == null ? Files.createTempDirectory("tansystack-scale") : folder;
-      Files.createDirectories(place);
-      ScaleResult result = settings.cells() == 1 ? one(settings, place) : many(settings, place);
+      Path runFolder = folder == null ? Files.createTempDirectory("tansystack-scale") : folder;
+      Files.createDirectories(runFolder);
+      ScaleResult result =
+          settings.cells() == 1
+              ? runOneCell(settings, runFolder)
+              : runAllCells(settings, runFolder);
       System.out.print(ScaleTable.of(result));
-      if (out != null) {
+      if (resultFile != null) {
         ObjectMapper mapper = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-        mapper.writeValue(out.toFile(), result);
+        mapper.writeValue(resultFile.toFile(), result);
       }
-      return result.rulesHeld() ? 0 : BROKEN;
+      return result.rulesHeld() ? 0 : FAILED;
     } catch (SettingsException e) {
       System.err.println("tansystack scale: " + e.getMessage());
       return BAD_SETTINGS;
     } catch (IllegalStateException e) {
       System.err.println("tansystack scale: " + e.getMessage());
-      return BROKEN;
+      return FAILED;
     }
   }
 
-  private ScaleResult one(ScaleSettings settings, Path place)
+  private ScaleResult runOneCell(ScaleSettings settings, Path runFolder)
       throws IOException, InterruptedException, SettingsException {
     double limitMb = MultiCellRun.memoryLimitMb();
-    try (CellRun only =
-        new CellRun(settings, cell, deployFile, place, limitMb, System.err::println)) {
-      Runtime.getRuntime().addShutdownHook(new Thread(only::close));
-      return only.run();
+    try (CellRun run =
+        new CellRun(settings, cell, deployFile, runFolder, limitMb, System.err::println)) {
+      Runtime.getRuntime().addShutdownHook(new Thread(run::close));
+      return run.run();
     }
   }
 
-  private ScaleResult many(ScaleSettings settings, Path place)
+  private ScaleResult runAllCells(ScaleSettings settings, Path runFolder)
       throws IOException, InterruptedException {
-    try (MultiCellRun all = new MultiCellRun(settings, deployFile, place, System.err::println)) {
-      Runtime.getRuntime().addShutdownHook(new Thread(all::close));
-      return all.run();
+    try (MultiCellRun run =
+        new MultiCellRun(settings, deployFile, runFolder, System.err::println)) {
+      Runtime.getRuntime().addShutdownHook(new Thread(run::close));
+      return run.run();
     }
   }
 }
--- a/src/main/java/io/tansystack/emulator/ControllerLauncher.java
+++ b/src/main/java/io/tansystack/emulator/ControllerLauncher.java
@@ -30,7 +30,7 @@
       throws SettingsException {
     this.settings = settings;
     this.addresses = addresses;
-    this.runLine = List.of(TomlTable.load(deployFile).text("run").trim().split("\\s+"));
+    this.runLine = List.of(TomlTable.load(deployFile).string("run").trim().split("\\s+"));
     this.root = deployFile.toAbsolutePath().getParent().getParent();
     this.folder = folder;
     for (int i = 0; i < settings.controllers(); i++) {
--- a/src/main/java/io/tansystack/emulator/EmulatedUsers.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedUsers.java
@@ -214,12 +214,12 @@
         timeout,
         new HttpClient.ResponseHandler() {
           @Override
-          public void answer(int status, byte[] answer) {
+          public void onResponse(int status, byte[] answer) {
             then.take(status, EmulatedFleet.decode(answer));
           }
 
           @Override
-          public void silence(boolean refusedConnection) {
+          public void onNoResponse(boolean refusedConnection) {
             skippedUntil.put(controller, loop.now().plus(SKIPPED));
             then.take(0, null);
           }
--- a/src/main/java/io/tansystack/emulator/ReportSender.java
+++ b/src/main/java/io/tansystack/emulator/ReportSender.java
@@ -107,14 +107,14 @@
         TIMEOUT,
         new HttpClient.ResponseHandler() {
           @Override
-          public void answer(int status, byte[] answer) {
+          public void onResponse(int status, byte[] answer) {
             traffic.reportBytes += answer.length + TrafficCounters.ANSWER_HEADER_BYTES;
             inFlight = false;
             answered(status, EmulatedFleet.decode(answer), at, session);
           }
 
           @Override
-          public void silence(boolean refused) {
+          public void onNoResponse(boolean refused) {
             inFlight = false;
             tryNextNode();
           }
--- a/src/main/java/io/tansystack/fleet/Autoscaler.java
+++ b/src/main/java/io/tansystack/fleet/Autoscaler.java
@@ -104,7 +104,7 @@
     // A machine list may be this old, and may be older than the list read before it.
     Duration maxListAge = settings.cloudLimits().listLag().multipliedBy(2).plusSeconds(2);
     CloudClient cloud =
-        new CloudClient(httpClient, loop, settings.cloud(), settings.cloudLimits().rps() * 0.9);
+        new CloudClient(httpClient, loop, settings.cloudAddress(), settings.cloudLimits().rps() * 0.9);
     this.releaser = new MachineReleaser(loop, cloud, store, clusterState);
     this.inventory =
         new Inventory(loop, cloud, clusterState, machineTypes::get, views, releaser, maxListAge);
@@ -204,10 +204,10 @@
       if (silence == null && view != null && view.token() == clusterState.token(record)) {
         silence = Duration.ofMillis(view.silentMs());
       }
-      if (silence != null && silence.compareTo(operator.silentDelete().dividedBy(2)) > 0) {
+      if (silence != null && silence.compareTo(operator.silentDeleteDelay().dividedBy(2)) > 0) {
         suspectCount.merge(record.owner(), 1, Integer::sum);
       }
-      if (silence != null && silence.compareTo(operator.silentDelete()) > 0) {
+      if (silence != null && silence.compareTo(operator.silentDeleteDelay()) > 0) {
         silentByOwner.computeIfAbsent(record.owner(), k -> new ArrayList<>()).add(name);
       }
     }
@@ -220,7 +220,7 @@
             names.forEach(
                 name ->
                     releaser.markForDeletion(
-                        name, "silent for longer than " + operator.silentDelete()));
+                        name, "silent for longer than " + operator.silentDeleteDelay()));
           }
         });
   }
--- a/src/main/java/io/tansystack/fleet/CloudClient.java
+++ b/src/main/java/io/tansystack/fleet/CloudClient.java
@@ -60,7 +60,7 @@
                 // Other controllers use the same limit.
                 budget.onThrottled(loop.now(), Duration.ofMillis(500));
               }
-              callback.take(status, map);
+              callback.onResult(status, map);
             }));
   }
 }
--- a/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
+++ b/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
@@ -46,7 +46,7 @@
     this.loop = loop;
     this.store = store;
     this.clusterState = clusterState;
-    this.cloud = new CloudClient(httpClient, loop, settings.cloud(), settings.cloudLimits().rps());
+    this.cloud = new CloudClient(httpClient, loop, settings.cloudAddress(), settings.cloudLimits().rps());
   }
 
   /** Reads the types from the cloud now and then periodically. */
--- a/src/main/java/io/tansystack/http/AddressServer.java
+++ b/src/main/java/io/tansystack/http/AddressServer.java
@@ -17,25 +17,26 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * A server on many addresses that come and go while it runs, with a service behind each. All of it
- * runs on the loop of a worker with one I/O thread.
+ * HTTP server on any number of addresses, which can be added and removed while it runs; each of
+ * them has its own service. Everything runs on the event loop of a worker with one I/O thread.
  */
 public final class AddressServer {
   private static final int BACKLOG = 128;
 
   private final XnioWorker worker;
   private final ByteBufferPool buffers;
-  private final int maxBody;
-  private final Map<InetSocketAddress, AcceptingChannel<StreamConnection>> listening =
+  private final int maxBodyBytes;
+  private final Map<InetSocketAddress, AcceptingChannel<StreamConnection>> channels =
       new HashMap<>();
 
-  public AddressServer(XnioWorker worker, ByteBufferPool buffers, int maxBody) {
+  /** @param maxBodyBytes longer request bodies are rejected unread */
+  public AddressServer(XnioWorker worker, ByteBufferPool buffers, int maxBodyBytes) {
     this.worker = worker;
     this.buffers = buffers;
-    this.maxBody = maxBody;
+    this.maxBodyBytes = maxBodyBytes;
   }
 
-  /** Serves the address until it is closed. */
+  /** Serves the address until {@link #close} is called for it. */
   public void listen(InetSocketAddress address, Service service) throws IOException {
     OptionMap undertowOptions =
         OptionMap.builder()
@@ -43,7 +44,7 @@
             .set(UndertowOptions.NO_REQUEST_TIMEOUT, -1)
             .getMap();
     HttpOpenListener listener = new HttpOpenListener(buffers, undertowOptions);
-    listener.setRootHandler(new ServiceHandler(service, maxBody, true));
+    listener.setRootHandler(new ServiceHandler(service, maxBodyBytes, true));
     OptionMap socketOptions =
         OptionMap.builder()
             .set(Options.TCP_NODELAY, true)
@@ -54,11 +55,11 @@
         worker.createStreamConnectionServer(
             address, ChannelListeners.openListenerAdapter(listener), socketOptions);
     channel.resumeAccepts();
-    listening.put(address, channel);
+    channels.put(address, channel);
   }
 
-  /** Stops listening; nothing happens for an address that is not served. */
+  /** Stops listening on the address; has no effect if the address is not served. */
   public void close(InetSocketAddress address) {
-    IoUtils.safeClose(listening.remove(address));
+    IoUtils.safeClose(channels.remove(address));
   }
 }
--- a/src/main/java/io/tansystack/http/BodyReader.java
+++ b/src/main/java/io/tansystack/http/BodyReader.java
@@ -11,15 +11,15 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Reads whole bodies. Undertow's own receiver takes them byte by byte, which on the first compiler
- * tier came to a twentieth of all processor time of a busy controller.
+ * Reads complete bodies. Undertow's own receiver copies them byte by byte; with code of the first
+ * compiler tier (C1) that took a twentieth of the CPU time of a busy controller.
  */
 final class BodyReader {
-  private static final byte[] NONE = new byte[0];
+  private static final byte[] EMPTY = new byte[0];
 
   private BodyReader() {}
 
-  /** Moves what the buffer holds to the end of the body. */
+  /** Appends the remaining bytes of the buffer to the body and consumes them. */
   static void append(ByteArrayOutputStream body, ByteBuffer buffer) {
     if (buffer.hasArray()) {
       body.write(buffer.array(), buffer.arrayOffset() + buffer.position(), buffer.remaining());
@@ -32,24 +32,25 @@
   }
 
   /**
-   * Hands over the request's body once all of it is here; {@code tooLong} is told instead if it
-   * passes the exchange's limit or can't be read.
+   * Reads the request's body and passes it to {@code onBody} when it is complete. Runs {@code
+   * onFailure} instead if the body exceeds the exchange's size limit or can't be read.
    */
-  static void receive(HttpServerExchange exchange, Consumer<byte[]> whole, Runnable tooLong) {
-    StreamSourceChannel channel = exchange.isRequestComplete() ? null : exchange.getRequestChannel();
+  static void receive(HttpServerExchange exchange, Consumer<byte[]> onBody, Runnable onFailure) {
+    StreamSourceChannel channel =
+        exchange.isRequestComplete() ? null : exchange.getRequestChannel();
     if (channel == null) {
-      whole.accept(NONE);
+      onBody.accept(EMPTY);
       return;
     }
     ByteArrayOutputStream body =
         new ByteArrayOutputStream((int) Math.max(32, exchange.getRequestContentLength()));
     try {
-      if (read(exchange, channel, body)) {
-        whole.accept(body.toByteArray());
+      if (readAvailable(exchange, channel, body)) {
+        onBody.accept(body.toByteArray());
         return;
       }
     } catch (IOException e) {
-      tooLong.run();
+      onFailure.run();
       return;
     }
     channel
@@ -57,20 +58,20 @@
         .set(
             ch -> {
               try {
-                if (read(exchange, ch, body)) {
+                if (readAvailable(exchange, ch, body)) {
                   ch.suspendReads();
-                  Connectors.executeRootHandler(ex -> whole.accept(body.toByteArray()), exchange);
+                  Connectors.executeRootHandler(ex -> onBody.accept(body.toByteArray()), exchange);
                 }
               } catch (IOException e) {
                 IoUtils.safeClose(ch);
-                Connectors.executeRootHandler(ex -> tooLong.run(), exchange);
+                Connectors.executeRootHandler(ex -> onFailure.run(), exchange);
               }
             });
     channel.resumeReads();
   }
 
-  /** Takes what has arrived; true if that was the end. */
-  private static boolean read(
+  /** Reads the bytes that have arrived; returns whether the end of the body was reached. */
+  private static boolean readAvailable(
       HttpServerExchange exchange, StreamSourceChannel channel, ByteArrayOutputStream body)
       throws IOException {
     try (PooledByteBuffer pooled = exchange.getConnection().getByteBufferPool().allocate()) {
--- a/src/main/java/io/tansystack/http/CborResponseHandler.java
+++ b/src/main/java/io/tansystack/http/CborResponseHandler.java
@@ -6,45 +6,53 @@
 import io.tansystack.wire.ThrottledLogger;
 import org.slf4j.LoggerFactory;
 
-/** The outcome of a request whose answer is a CBOR map, as the published interfaces have it. */
+/** Decodes responses whose body is a CBOR map, as in the published interfaces. */
 public final class CborResponseHandler implements HttpClient.ResponseHandler {
-  /** One for all: an outcome lives for one request. */
-  private static final ThrottledLogger MALFORMED =
+  /** Shared by all instances, since each instance lives for one request only. */
+  private static final ThrottledLogger INVALID_RESPONSES =
       new ThrottledLogger(LoggerFactory.getLogger(CborResponseHandler.class));
 
-  /** An answer's status and, if it could be read, its body. Status 0 stands for no answer. */
+  /** Receives the result of a request. */
   public interface Callback {
-    void take(int status, ObjectNode body);
+    /**
+     * @param status HTTP status; 0 if there was no response, or if a response with status 200
+     *     can't be decoded: the request may have been executed
+     * @param body null if there is no body that could be decoded
+     */
+    void onResult(int status, ObjectNode body);
   }
 
   private final String service;
-  private final int ifRefused;
-  private final Callback then;
+  private final int statusIfRefused;
+  private final Callback callback;
 
-  /** @param ifRefused the status that a refused connection counts as: nothing was sent */
-  public CborResponseHandler(String service, int ifRefused, Callback then) {
+  /**
+   * @param service name of the service, for the log
+   * @param statusIfRefused status to report if the connection was refused, so that nothing was sent
+   */
+  public CborResponseHandler(String service, int statusIfRefused, Callback callback) {
     this.service = service;
-    this.ifRefused = ifRefused;
-    this.then = then;
+    this.statusIfRefused = statusIfRefused;
+    this.callback = callback;
   }
 
   @Override
-  public void answer(int status, byte[] answer) {
+  public void onResponse(int status, byte[] body) {
     ObjectNode map = null;
     try {
-      map = Cbor.decodeMap(answer);
+      map = Cbor.decodeMap(body);
     } catch (InvalidMessageException e) {
       if (status == 200) {
-        MALFORMED.warn(service + ": unreadable answer", e.getMessage());
-        then.take(0, null);
+        INVALID_RESPONSES.warn(service + ": unreadable response", e.getMessage());
+        callback.onResult(0, null);
         return;
       }
     }
-    then.take(status, map);
+    callback.onResult(status, map);
   }
 
   @Override
-  public void silence(boolean refused) {
-    then.take(refused ? ifRefused : 0, null);
+  public void onNoResponse(boolean refused) {
+    callback.onResult(refused ? statusIfRefused : 0, null);
   }
 }
--- a/src/main/java/io/tansystack/http/EventLoop.java
+++ b/src/main/java/io/tansystack/http/EventLoop.java
@@ -4,14 +4,15 @@
 import java.util.concurrent.Executor;
 
 /**
- * The one event loop that owns all scheduling state. In the service it is the XNIO I/O thread, so
- * that an answer needs no change of thread on a fraction of a core; tests put simulated time here.
+ * The single-threaded event loop that owns all scheduling state. In the service it is the XNIO I/O
+ * thread, so that a response needs no thread switch, which matters on a fraction of a core. Tests
+ * use an implementation with simulated time.
  */
 public interface EventLoop extends Executor {
-  /** Steady time since an arbitrary start; never goes back. */
+  /** Monotonic time since an arbitrary origin. */
   Duration now();
 
-  /** Runs once after the delay, unless cancelled first. */
+  /** Runs the task once after the delay, unless the timer is cancelled first. */
   Timer after(Duration delay, Runnable task);
 
   /** A pending timer. */
--- a/src/main/java/io/tansystack/http/HttpClient.java
+++ b/src/main/java/io/tansystack/http/HttpClient.java
@@ -3,25 +3,34 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 
-/** Sends one request and tells its outcome on the loop; the seam at which tests put stand-ins. */
+/** Sends HTTP requests and reports their results on the event loop. Tests replace it by fakes. */
 public interface HttpClient {
-  /** What came of a request. */
+  /** Receives the result of a request; exactly one of its methods is called. */
   interface ResponseHandler {
-    /** An answer arrived in whole. */
-    void answer(int status, byte[] body);
+    /** A complete response has arrived. */
+    void onResponse(int status, byte[] body);
 
     /**
-     * No answer. With {@code refused} the connection was refused at once, so that nothing was sent;
-     * otherwise the request may still be carried out, now or much later.
+     * There is no response.
+     *
+     * @param refused true if nothing was sent, because the connection was refused at once or too
+     *     many requests wait for the address; false if the request may still be executed, now or
+     *     much later
      */
-    void silence(boolean refused);
+    void onNoResponse(boolean refused);
   }
 
+  /**
+   * Sends a request.
+   *
+   * @param body null for a request without a body
+   * @param timeout without a response by then, the request counts as having none
+   */
   void call(
-      InetSocketAddress to,
+      InetSocketAddress address,
       String method,
       String path,
       byte[] body,
       Duration timeout,
-      ResponseHandler outcome);
+      ResponseHandler handler);
 }
--- a/src/main/java/io/tansystack/http/HttpServer.java
+++ b/src/main/java/io/tansystack/http/HttpServer.java
@@ -8,18 +8,23 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** Undertow's server on the loop's thread: bodies are read whole and within the limit. */
+/**
+ * Undertow's server for a controller's front and peer addresses. It runs on the event loop's thread
+ * and reads each request body completely, up to a size limit, before the service is called.
+ */
 public final class HttpServer {
-  /** A request body may be at most this long; a longer one is refused unread. */
-  public static final int MAX_BODY = 64 * 1024;
+  /** Limit of request bodies on the front address; longer ones are rejected unread. */
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Answers one request, at once or later, always on the loop. */
+  /** Handles requests on the event loop. */
   public interface Service {
+    /** Handles one request; the reply may be sent later, but only from the event loop. */
     void handle(String method, String path, byte[] body, Reply reply);
   }
 
-  /** The way back to the one who asked. The first answer counts, later ones are ignored. */
+  /** Sends the response to a request. Only the first call has an effect. */
   public interface Reply {
+    /** @param retryAfterS value of the Retry-After header in seconds; 0 for no such header */
     void send(int status, byte[] body, int retryAfterS);
 
     default void send(int status, byte[] body) {
@@ -29,14 +34,15 @@
 
   private final Undertow undertow;
 
+  /** @param peerMaxBodyBytes limit of request bodies on the peer address */
   public HttpServer(
       XnioWorker worker,
       ByteBufferPool buffers,
-      InetSocketAddress front,
+      InetSocketAddress frontAddress,
       Service frontService,
-      InetSocketAddress peer,
+      InetSocketAddress peerAddress,
       Service peerService,
-      int maxBodyPeer) {
+      int peerMaxBodyBytes) {
     undertow =
         Undertow.builder()
             .setWorker(worker)
@@ -48,16 +54,16 @@
             .setSocketOption(Options.REUSE_ADDRESSES, true)
             .setSocketOption(Options.TCP_NODELAY, true)
             .setSocketOption(Options.BACKLOG, 256)
-            .addListener(listener(front, new ServiceHandler(frontService, MAX_BODY)))
-            .addListener(listener(peer, new ServiceHandler(peerService, maxBodyPeer)))
+            .addListener(listener(frontAddress, new ServiceHandler(frontService, MAX_BODY_BYTES)))
+            .addListener(listener(peerAddress, new ServiceHandler(peerService, peerMaxBodyBytes)))
             .build();
   }
 
-  private static Undertow.ListenerBuilder listener(InetSocketAddress at, HttpHandler handler) {
+  private static Undertow.ListenerBuilder listener(InetSocketAddress address, HttpHandler handler) {
     return new Undertow.ListenerBuilder()
         .setType(Undertow.ListenerType.HTTP)
-        .setHost(at.getHostString())
-        .setPort(at.getPort())
+        .setHost(address.getHostString())
+        .setPort(address.getPort())
         .setRootHandler(handler);
   }
 
--- a/src/main/java/io/tansystack/http/ServiceHandler.java
+++ b/src/main/java/io/tansystack/http/ServiceHandler.java
@@ -7,44 +7,44 @@
 import io.undertow.util.Headers;
 import java.nio.ByteBuffer;
 
-/** Hands whole requests to a service on the loop's thread, and its answers back. */
+/** Passes complete requests to a service on the event loop's thread and sends its responses. */
 final class ServiceHandler implements HttpHandler {
   private final Service service;
-  private final int maxBody;
-  private final boolean withQuery;
+  private final int maxBodyBytes;
+  private final boolean pathIncludesQuery;
 
-  /** For a service that takes no parameters in its paths. */
-  ServiceHandler(Service service, int maxBody) {
-    this(service, maxBody, false);
+  /** For a service whose requests have no query string. */
+  ServiceHandler(Service service, int maxBodyBytes) {
+    this(service, maxBodyBytes, false);
   }
 
   /**
-   * @param maxBody a request body may be at most this long; a longer one is refused unread
-   * @param withQuery whether the service is told the parameters as a part of the path
+   * @param maxBodyBytes longer request bodies are rejected unread
+   * @param pathIncludesQuery whether the query string is passed to the service as part of the path
    */
-  ServiceHandler(Service service, int maxBody, boolean withQuery) {
+  ServiceHandler(Service service, int maxBodyBytes, boolean pathIncludesQuery) {
     this.service = service;
-    this.maxBody = maxBody;
-    this.withQuery = withQuery;
+    this.maxBodyBytes = maxBodyBytes;
+    this.pathIncludesQuery = pathIncludesQuery;
   }
 
   @Override
   public void handleRequest(HttpServerExchange exchange) {
-    if (exchange.getRequestContentLength() > maxBody) {
-      refuseLarge(exchange);
+    if (exchange.getRequestContentLength() > maxBodyBytes) {
+      rejectBody(exchange);
       return;
     }
-    exchange.setMaxEntitySize(maxBody);
-    BodyReader.receive(exchange, body -> serve(exchange, body), () -> refuseLarge(exchange));
+    exchange.setMaxEntitySize(maxBodyBytes);
+    BodyReader.receive(exchange, body -> serve(exchange, body), () -> rejectBody(exchange));
   }
 
   private void serve(HttpServerExchange exchange, byte[] body) {
-    Answer answer = new Answer(exchange);
+    ExchangeReply reply = new ExchangeReply(exchange);
     String method = exchange.getRequestMethod().toString();
-    String path = withQuery ? pathWithQuery(exchange) : exchange.getRequestPath();
-    XnioEventLoop.guarded(() -> service.handle(method, path, body, answer));
-    if (!answer.sent) {
-      exchange.dispatch(); // The answer comes later; until then the exchange stays open.
+    String path = pathIncludesQuery ? pathWithQuery(exchange) : exchange.getRequestPath();
+    XnioEventLoop.runLoggingErrors(() -> service.handle(method, path, body, reply));
+    if (!reply.sent) {
+      exchange.dispatch(); // Keeps the exchange open until the response is sent later.
     }
   }
 
@@ -53,19 +53,22 @@
     return query.isEmpty() ? exchange.getRequestPath() : exchange.getRequestPath() + "?" + query;
   }
 
-  /** The rest of the body is not read, so the connection can't be used again. */
-  private static void refuseLarge(HttpServerExchange exchange) {
+  /**
+   * Responds with 400 and closes the connection, which can't be reused since the rest of the body
+   * is not read.
+   */
+  private static void rejectBody(HttpServerExchange exchange) {
     exchange.setStatusCode(400);
     exchange.setPersistent(false);
     exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
     exchange.endExchange();
   }
 
-  private static final class Answer implements Reply {
+  private static final class ExchangeReply implements Reply {
     private final HttpServerExchange exchange;
     private boolean sent;
 
-    Answer(HttpServerExchange exchange) {
+    ExchangeReply(HttpServerExchange exchange) {
       this.exchange = exchange;
     }
 
--- a/src/main/java/io/tansystack/http/UndertowHttpClient.java
+++ b/src/main/java/io/tansystack/http/UndertowHttpClient.java
@@ -27,81 +27,87 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Undertow's client with a small pool of kept connections for each address. Everything runs on the
- * loop's thread. Waiting requests and connections are bounded for each address, and a request that
- * is not answered in time closes its connection, so that a late answer can't be taken for another's.
+ * Undertow's client with a small pool of persistent connections for each address. Everything runs
+ * on the event loop's thread. The numbers of waiting requests and of connections per address are
+ * limited. A request that gets no response in time closes its connection, so that a late response
+ * can't be taken for that of another request.
  */
 public final class UndertowHttpClient implements HttpClient {
-  private static final int MAX_WAITING = 256;
-  private static final int MAX_STALE = 4;
-  private static final int MAX_ANSWER = 64 << 20;
+  private static final int MAX_WAITING_CALLS = 256;
+  private static final int MAX_ABANDONED_CONNECTS = 4;
+  private static final int MAX_RESPONSE_BYTES = 64 << 20;
 
   private final XnioIoThread thread;
   private final EventLoop loop;
   private final ByteBufferPool buffers;
-  private final int maxPerAddress;
+  private final int maxConnectionsPerAddress;
   private final Map<InetSocketAddress, Pool> pools = new HashMap<>();
 
   public UndertowHttpClient(
-      XnioIoThread thread, EventLoop loop, ByteBufferPool buffers, int maxPerAddress) {
+      XnioIoThread thread, EventLoop loop, ByteBufferPool buffers, int maxConnectionsPerAddress) {
     this.thread = thread;
     this.loop = loop;
     this.buffers = buffers;
-    this.maxPerAddress = maxPerAddress;
+    this.maxConnectionsPerAddress = maxConnectionsPerAddress;
   }
 
+  /** Connections to one address, and the calls that wait for one. */
   private static final class Pool {
     final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
     final ArrayDeque<Call> waiting = new ArrayDeque<>();
-    int connecting;
 
-    /** Attempts whose calls have given up; the network may leave them hanging for minutes. */
-    int stale;
+    /** Connection attempts in progress, without the abandoned ones. */
+    int activeConnects;
 
-    int open;
+    /** Connection attempts whose calls have timed out; they may hang in the network for minutes. */
+    int abandonedConnects;
+
+    int openConnections;
   }
 
   private static final class Call {
-    final InetSocketAddress to;
+    final InetSocketAddress address;
     final Pool pool;
     final ClientRequest request;
     final byte[] body;
-    final ResponseHandler outcome;
+    final ResponseHandler handler;
     EventLoop.Timer timer;
     ClientConnection connection;
-    boolean over;
+    boolean finished;
 
     Call(
-        InetSocketAddress to,
+        InetSocketAddress address,
         Pool pool,
         ClientRequest request,
         byte[] body,
-        ResponseHandler outcome) {
-      this.to = to;
+        ResponseHandler handler) {
+      this.address = address;
       this.pool = pool;
       this.request = request;
       this.body = body;
-      this.outcome = outcome;
+      this.handler = handler;
     }
   }
 
   @Override
   public void call(
-      InetSocketAddress to,
+      InetSocketAddress address,
       String method,
       String path,
       byte[] body,
       Duration timeout,
-      ResponseHandler outcome) {
-    Pool pool = pools.computeIfAbsent(to, key -> new Pool());
+      ResponseHandler handler) {
+    Pool pool = pools.computeIfAbsent(address, key -> new Pool());
     ClientRequest request =
         new ClientRequest().setMethod(new HttpString(method)).setPath(path);
-    request.getRequestHeaders().put(Headers.HOST, to.getHostString() + ":" + to.getPort());
+    request
+        .getRequestHeaders()
+        .put(Headers.HOST, address.getHostString() + ":" + address.getPort());
     if (body != null) {
       request.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
       request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/cbor");
     }
-    Call call = new Call(to, pool, request, body, outcome);
+    Call call = new Call(address, pool, request, body, handler);
     call.timer = loop.after(timeout, () -> fail(call, false));
     ClientConnection connection;
     while ((connection = pool.idle.pollLast()) != null) {
@@ -110,31 +116,33 @@
         return;
       }
     }
-    if (pool.waiting.size() >= MAX_WAITING) {
+    if (pool.waiting.size() >= MAX_WAITING_CALLS) {
       loop.execute(() -> fail(call, true));
       return;
     }
     pool.waiting.add(call);
-    connect(to, pool);
+    connectIfNeeded(address, pool);
   }
 
-  private void connect(InetSocketAddress to, Pool pool) {
-    if (pool.connecting >= pool.waiting.size() || pool.open + pool.connecting >= maxPerAddress) {
+  /** Opens a connection if calls wait for one and the limit per address allows it. */
+  private void connectIfNeeded(InetSocketAddress address, Pool pool) {
+    if (pool.activeConnects >= pool.waiting.size()
+        || pool.openConnections + pool.activeConnects >= maxConnectionsPerAddress) {
       return;
     }
-    pool.connecting++;
-    URI uri = URI.create("http://" + to.getHostString() + ":" + to.getPort());
+    pool.activeConnects++;
+    URI uri = URI.create("http://" + address.getHostString() + ":" + address.getPort());
     UndertowClient.getInstance()
         .connect(
             new ClientCallback<ClientConnection>() {
               @Override
               public void completed(ClientConnection connection) {
-                loop.execute(() -> connected(to, pool, connection));
+                loop.execute(() -> onConnected(address, pool, connection));
               }
 
               @Override
               public void failed(IOException e) {
-                loop.execute(() -> connectFailed(to, pool, e));
+                loop.execute(() -> onConnectFailed(address, pool, e));
               }
             },
             uri,
@@ -143,46 +151,47 @@
             OptionMap.EMPTY);
   }
 
-  private void connected(InetSocketAddress to, Pool pool, ClientConnection connection) {
-    attemptEnded(pool);
-    pool.open++;
+  private void onConnected(InetSocketAddress address, Pool pool, ClientConnection connection) {
+    connectEnded(pool);
+    pool.openConnections++;
     connection
         .getCloseSetter()
         .set(
             closed -> {
-              pool.open--;
+              pool.openConnections--;
               pool.idle.remove(connection);
-              connect(to, pool);
+              connectIfNeeded(address, pool);
             });
-    next(pool, connection);
+    assignOrKeepIdle(pool, connection);
   }
 
-  private void connectFailed(InetSocketAddress to, Pool pool, IOException e) {
-    attemptEnded(pool);
+  private void onConnectFailed(InetSocketAddress address, Pool pool, IOException e) {
+    connectEnded(pool);
     boolean refused = e instanceof ConnectException;
     Call call = pool.waiting.poll();
     if (call != null) {
       fail(call, refused);
     }
-    connect(to, pool);
+    connectIfNeeded(address, pool);
   }
 
-  private static void attemptEnded(Pool pool) {
-    if (pool.stale > 0) {
-      pool.stale--;
+  /** Counts a connection attempt as ended: as an abandoned one while there are any. */
+  private static void connectEnded(Pool pool) {
+    if (pool.abandonedConnects > 0) {
+      pool.abandonedConnects--;
     } else {
-      pool.connecting--;
+      pool.activeConnects--;
     }
   }
 
-  /** Gives a free connection to the longest waiting call, or keeps it. */
-  private void next(Pool pool, ClientConnection connection) {
+  /** Gives a free connection to the call that has waited longest, or keeps it for later calls. */
+  private void assignOrKeepIdle(Pool pool, ClientConnection connection) {
     if (!connection.isOpen()) {
       return;
     }
     Call call;
     while ((call = pool.waiting.poll()) != null) {
-      if (!call.over) {
+      if (!call.finished) {
         send(call, connection);
         return;
       }
@@ -190,20 +199,21 @@
     pool.idle.addLast(connection);
   }
 
+  /** Ends the call without a response, unless it has finished already. */
   private void fail(Call call, boolean refused) {
-    if (call.over) {
+    if (call.finished) {
       return;
     }
-    call.over = true;
+    call.finished = true;
     call.timer.cancel();
     if (call.pool.waiting.remove(call)
-        && call.pool.connecting > 0
-        && call.pool.stale < MAX_STALE) {
-      call.pool.connecting--;
-      call.pool.stale++;
+        && call.pool.activeConnects > 0
+        && call.pool.abandonedConnects < MAX_ABANDONED_CONNECTS) {
+      call.pool.activeConnects--;
+      call.pool.abandonedConnects++;
     }
     IoUtils.safeClose(call.connection);
-    call.outcome.silence(refused);
+    call.handler.onNoResponse(refused);
   }
 
   private void send(Call call, ClientConnection connection) {
@@ -301,12 +311,12 @@
               }
               if (n < 0) {
                 ch.suspendReads();
-                answered(call, status, body.toByteArray());
+                complete(call, status, body.toByteArray());
                 return;
               }
               buffer.flip();
               BodyReader.append(body, buffer);
-              if (body.size() > MAX_ANSWER) {
+              if (body.size() > MAX_RESPONSE_BYTES) {
                 fail(call, false);
                 return;
               }
@@ -320,15 +330,15 @@
     listener.handleEvent(channel);
   }
 
-  private void answered(Call call, int status, byte[] body) {
-    if (call.over) {
+  private void complete(Call call, int status, byte[] body) {
+    if (call.finished) {
       return;
     }
-    call.over = true;
+    call.finished = true;
     call.timer.cancel();
     ClientConnection connection = call.connection;
-    // The connection is handed on only after Undertow has finished with this exchange.
-    loop.execute(() -> next(call.pool, connection));
-    XnioEventLoop.guarded(() -> call.outcome.answer(status, body));
+    // Deferred, so that Undertow has finished this exchange before the connection is reused.
+    loop.execute(() -> assignOrKeepIdle(call.pool, connection));
+    XnioEventLoop.runLoggingErrors(() -> call.handler.onResponse(status, body));
   }
 }
--- a/src/main/java/io/tansystack/http/XnioEventLoop.java
+++ b/src/main/java/io/tansystack/http/XnioEventLoop.java
@@ -7,7 +7,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The loop on an XNIO I/O thread. A task that fails is logged and never ends the thread. */
+/** Event loop on an XNIO I/O thread. A task that throws is logged and never ends the thread. */
 public final class XnioEventLoop implements EventLoop {
   private static final Logger log = LoggerFactory.getLogger(XnioEventLoop.class);
   private final XnioIoThread thread;
@@ -23,22 +23,23 @@
 
   @Override
   public void execute(Runnable task) {
-    thread.execute(() -> guarded(task));
+    thread.execute(() -> runLoggingErrors(task));
   }
 
   @Override
   public Timer after(Duration delay, Runnable task) {
     XnioExecutor.Key key =
         thread.executeAfter(
-            () -> guarded(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
+            () -> runLoggingErrors(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
     return key::remove;
   }
 
-  static void guarded(Runnable task) {
+  /** Runs the task; an exception that it throws is only logged. */
+  static void runLoggingErrors(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
-      log.error("a duty failed and is carried on with its next turn", e);
+      log.error("event loop task failed; periodic tasks continue with their next run", e);
     }
   }
 }
--- a/src/main/java/io/tansystack/jobs/JobScheduler.java
+++ b/src/main/java/io/tansystack/jobs/JobScheduler.java
@@ -118,12 +118,12 @@
     this.bootingMachines = bootingMachines;
     this.passRunner = passRunner;
     this.coverage = coverage;
-    this.sizeLimit = new RecordSizeLimit(settings.store().valueBytes());
+    this.sizeLimit = new RecordSizeLimit(settings.stateServiceLimits().maxValueBytes());
     this.bounds =
         new Planner.Bounds(
             sizeLimit,
-            settings.store().txnOps() * 2,
-            Math.max(MIN_PLANNED_JOBS, (int) (settings.store().writeRps() * PLANNED_AHEAD_S)));
+            settings.stateServiceLimits().maxTxnOps() * 2,
+            Math.max(MIN_PLANNED_JOBS, (int) (settings.stateServiceLimits().writeRps() * PLANNED_AHEAD_S)));
     this.schedulingState =
         new SchedulingState(
             loop, clusterState, slotManager, settings, views, machineTypes, clock, coverage);
--- a/src/main/java/io/tansystack/jobs/PlanWriter.java
+++ b/src/main/java/io/tansystack/jobs/PlanWriter.java
@@ -114,10 +114,10 @@
     this.views = views;
     this.schedulingState = schedulingState;
     this.sizeLimit = sizeLimit;
-    this.maxConditions = settings.store().txnOps() * 4;
-    this.maxWrites = settings.store().txnOps();
+    this.maxConditions = settings.stateServiceLimits().maxTxnOps() * 4;
+    this.maxWrites = settings.stateServiceLimits().maxTxnOps();
     this.teams = settings.teams();
-    this.writesPerSecond = settings.store().writeRps();
+    this.writesPerSecond = settings.stateServiceLimits().writeRps();
     this.requestPass = requestPass;
     // Several arrays run at a time, so each may use only a twentieth of the write limit.
     this.arrayInterval = Duration.ofMillis((long) (20_000 / writesPerSecond));
--- a/src/main/java/io/tansystack/jobs/SchedulingState.java
+++ b/src/main/java/io/tansystack/jobs/SchedulingState.java
@@ -96,12 +96,12 @@
     this.coverage = coverage;
     this.reclaimNotices = new ReclaimNotices(clusterState);
     this.machineStates =
-        new MachineStateBuilder(clusterState, views, machineTypes, settings.workers().report());
+        new MachineStateBuilder(clusterState, views, machineTypes, settings.workerTimings().reportInterval());
     this.jobStates = new JobStateBuilder(settings.objectives(), failures, coverage);
     settings.teams().forEach(team -> teams.put(team.name(), team));
     // Besides the machines chosen in a round, a transaction has conditions on the slot, the job's
     // record, the absence of an archived outcome, and the team's record.
-    this.maxProofConditions = Math.max(1, settings.store().txnOps() * 2 - 4);
+    this.maxProofConditions = Math.max(1, settings.stateServiceLimits().maxTxnOps() * 2 - 4);
   }
 
   /**
--- a/src/main/java/io/tansystack/jobs/SubmissionHandler.java
+++ b/src/main/java/io/tansystack/jobs/SubmissionHandler.java
@@ -55,7 +55,7 @@
     this.machineTypes = machineTypes;
     this.lookup = lookup;
     this.submissionWriter = submissionWriter;
-    this.sizeLimit = new RecordSizeLimit(settings.store().valueBytes());
+    this.sizeLimit = new RecordSizeLimit(settings.stateServiceLimits().maxValueBytes());
   }
 
   /** Serves {@code POST /v1/jobs}. */
@@ -167,7 +167,7 @@
     int machines = (spec.tasks() + maxPerMachine - 1) / maxPerMachine;
     int maxMachines = sizeLimit.maxPlacementsAfterRound(spec);
     if (spec.kind() == JobKind.GANG) {
-      maxMachines = Math.min(maxMachines, settings.store().txnOps() * 2);
+      maxMachines = Math.min(maxMachines, settings.stateServiceLimits().maxTxnOps() * 2);
     }
     return machines <= maxMachines
         ? null
--- a/src/main/java/io/tansystack/jobs/SubmissionWriter.java
+++ b/src/main/java/io/tansystack/jobs/SubmissionWriter.java
@@ -66,15 +66,15 @@
     this.loop = loop;
     this.store = store;
     this.incarnation = incarnation;
-    PlatformSettings.StateServiceLimits limits = settings.store();
+    PlatformSettings.StateServiceLimits limits = settings.stateServiceLimits();
     double perSecond =
         Math.max(
-            limits.writeRps() * WRITE_SHARE / settings.size(),
+            limits.writeRps() * WRITE_SHARE / settings.controllerCount(),
             1000.0 / MAX_WRITE_INTERVAL.toMillis());
     this.budget = new RateBudget(perSecond, Math.max(2, perSecond), loop.now());
     // A transaction has two conditions for each job and one for the batch record itself.
-    this.maxJobs = (limits.txnOps() * 4 - 1) / 2;
-    this.maxSize = (int) (limits.valueBytes() * MAX_FILL);
+    this.maxJobs = (limits.maxTxnOps() * 4 - 1) / 2;
+    this.maxSize = (int) (limits.maxValueBytes() * MAX_FILL);
   }
 
   /**
--- a/src/main/java/io/tansystack/peers/PeerLink.java
+++ b/src/main/java/io/tansystack/peers/PeerLink.java
@@ -221,7 +221,7 @@
         TIMEOUT,
         new HttpClient.ResponseHandler() {
           @Override
-          public void answer(int status, byte[] answer) {
+          public void onResponse(int status, byte[] answer) {
             link.inFlight = false;
             try {
               applyStatus(link, FieldReader.map(msgpack.readTree(answer), "answer"));
@@ -235,7 +235,7 @@
           }
 
           @Override
-          public void silence(boolean refused) {
+          public void onNoResponse(boolean refused) {
             link.inFlight = false;
             batch.forEach(link.pending::putIfAbsent);
             if (link.missedResponses++ == 0) {
--- a/src/main/java/io/tansystack/recovery/RecoveryContext.java
+++ b/src/main/java/io/tansystack/recovery/RecoveryContext.java
@@ -46,8 +46,8 @@
       InstantSource clock,
       Duration recordTtl,
       PeerHealth peerHealth) {
-    Duration workerLease = settings.workers().lease();
-    Duration reportInterval = settings.workers().report();
+    Duration workerLease = settings.workerTimings().leaseDuration();
+    Duration reportInterval = settings.workerTimings().reportInterval();
     // Within the worker's lease its owner comes back or is replaced; the report interval allows for
     // a report to an unresponsive owner, which the worker gives up.
     Duration maxStartupTime =
--- a/src/main/java/io/tansystack/schedule/Deadlines.java
+++ b/src/main/java/io/tansystack/schedule/Deadlines.java
@@ -37,7 +37,7 @@
       if (objective.kind().equals("deadline") && objective.jobClass() != null) {
         multiplesByClass
             .computeIfAbsent(objective.jobClass(), k -> new ArrayList<>())
-            .add(objective.times());
+            .add(objective.deadlineFactor());
       }
     }
     multiplesByClass.values().forEach(multiples -> multiples.sort(null));
--- a/src/main/java/io/tansystack/settings/SettingsException.java
+++ b/src/main/java/io/tansystack/settings/SettingsException.java
@@ -1,6 +1,6 @@
 package io.tansystack.settings;
 
-/** A settings file that cannot be used; the text names the key and the reason. */
+/** Thrown for a settings file that cannot be used; the message names the key and the reason. */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/tansystack/settings/TomlTable.java
+++ b/src/main/java/io/tansystack/settings/TomlTable.java
@@ -14,13 +14,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A TOML table whose errors name the full key. Unknown keys are ignored by never being asked. */
+/**
+ * A TOML table. Each method reads one key, and its exception names the full key. Keys that are not
+ * read are ignored.
+ */
 public final class TomlTable {
-  private final String path;
+  /** Full key of this table; empty for the root. */
+  private final String prefix;
+
   private final ObjectNode node;
 
-  private TomlTable(String path, ObjectNode node) {
-    this.path = path;
+  private TomlTable(String prefix, ObjectNode node) {
+    this.prefix = prefix;
     this.node = node;
   }
 
@@ -34,11 +39,12 @@
     return parse(file.toString(), text);
   }
 
-  public static TomlTable parse(String what, String text) throws SettingsException {
+  /** @param source names the text in error messages */
+  public static TomlTable parse(String source, String text) throws SettingsException {
     try {
       return new TomlTable("", (ObjectNode) new TomlMapper().readTree(text));
     } catch (IOException e) {
-      throw new SettingsException(what + ": not TOML: " + e.getMessage());
+      throw new SettingsException(source + ": not TOML: " + e.getMessage());
     }
   }
 
@@ -46,31 +52,34 @@
     return node.has(name);
   }
 
-  /** The full key, as errors name it. */
-  public String key(String name) {
-    return path.isEmpty() ? name : path + "." + name;
+  /** The full key, as error messages name it. */
+  public String fullKey(String name) {
+    return prefix.isEmpty() ? name : prefix + "." + name;
   }
 
-  private JsonNode need(String name) throws SettingsException {
+  private JsonNode require(String name) throws SettingsException {
     JsonNode value = node.get(name);
     if (value == null) {
-      throw new SettingsException(key(name) + ": missing");
+      throw new SettingsException(fullKey(name) + ": missing");
     }
     return value;
   }
 
   public TomlTable table(String name) throws SettingsException {
-    if (need(name) instanceof ObjectNode table) {
-      return new TomlTable(key(name), table);
+    if (require(name) instanceof ObjectNode table) {
+      return new TomlTable(fullKey(name), table);
     }
-    throw new SettingsException(key(name) + ": not a table");
+    throw new SettingsException(fullKey(name) + ": not a table");
   }
 
-  /** A table that may be left out; then every key in it has its default. */
+  /** Returns an empty table if there is none, so that every key in it has its default. */
   public TomlTable tableOrEmpty(String name) throws SettingsException {
-    return node.has(name) ? table(name) : new TomlTable(key(name), JsonNodeFactory.instance.objectNode());
+    return node.has(name)
+        ? table(name)
+        : new TomlTable(fullKey(name), JsonNodeFactory.instance.objectNode());
   }
 
+  /** Returns an array of tables; empty if there is none. */
   public List<TomlTable> tables(String name) throws SettingsException {
     List<TomlTable> tables = new ArrayList<>();
     JsonNode list = node.get(name);
@@ -78,66 +87,69 @@
       return tables;
     }
     if (!list.isArray()) {
-      throw new SettingsException(key(name) + ": not a list of tables");
+      throw new SettingsException(fullKey(name) + ": not a list of tables");
     }
     for (int i = 0; i < list.size(); i++) {
-      String at = key(name) + "[" + i + "]";
+      String elementKey = fullKey(name) + "[" + i + "]";
       if (!(list.get(i) instanceof ObjectNode table)) {
-        throw new SettingsException(at + ": not a table");
+        throw new SettingsException(elementKey + ": not a table");
       }
-      tables.add(new TomlTable(at, table));
+      tables.add(new TomlTable(elementKey, table));
     }
     return tables;
   }
 
-  public String text(String name) throws SettingsException {
-    JsonNode value = need(name);
+  /** Returns a string that is not empty. */
+  public String string(String name) throws SettingsException {
+    JsonNode value = require(name);
     if (!value.isTextual() || value.textValue().isEmpty()) {
-      throw new SettingsException(key(name) + ": not a text");
+      throw new SettingsException(fullKey(name) + ": not a non-empty string");
     }
     return value.textValue();
   }
 
-  public String textOr(String name, String fallback) throws SettingsException {
-    return node.has(name) ? text(name) : fallback;
+  public String stringOr(String name, String defaultValue) throws SettingsException {
+    return node.has(name) ? string(name) : defaultValue;
   }
 
+  /** Returns a number between the bounds, both included. */
   public double number(String name, double min, double max) throws SettingsException {
-    JsonNode value = need(name);
+    JsonNode value = require(name);
     if (!value.isNumber()) {
-      throw new SettingsException(key(name) + ": not a number");
+      throw new SettingsException(fullKey(name) + ": not a number");
     }
     double number = value.doubleValue();
     if (!(number >= min && number <= max)) {
       throw new SettingsException(
-          key(name) + ": " + number + " is not between " + min + " and " + max);
+          fullKey(name) + ": " + number + " is not between " + min + " and " + max);
     }
     return number;
   }
 
-  public double numberOr(String name, double fallback, double min, double max) throws SettingsException {
-    return node.has(name) ? number(name, min, max) : fallback;
+  public double numberOr(String name, double defaultValue, double min, double max)
+      throws SettingsException {
+    return node.has(name) ? number(name, min, max) : defaultValue;
   }
 
   public int integer(String name, int min, int max) throws SettingsException {
     double number = number(name, min, max);
     if (number != Math.rint(number)) {
-      throw new SettingsException(key(name) + ": not a whole number");
+      throw new SettingsException(fullKey(name) + ": not a whole number");
     }
     return (int) number;
   }
 
-  public int integerOr(String name, int fallback, int min, int max) throws SettingsException {
-    return node.has(name) ? integer(name, min, max) : fallback;
+  public int integerOr(String name, int defaultValue, int min, int max) throws SettingsException {
+    return node.has(name) ? integer(name, min, max) : defaultValue;
   }
 
-  public boolean flagOr(String name, boolean fallback) throws SettingsException {
+  public boolean booleanOr(String name, boolean defaultValue) throws SettingsException {
     JsonNode value = node.get(name);
     if (value == null) {
-      return fallback;
+      return defaultValue;
     }
     if (!value.isBoolean()) {
-      throw new SettingsException(key(name) + ": not true or false");
+      throw new SettingsException(fullKey(name) + ": not true or false");
     }
     return value.booleanValue();
   }
@@ -146,27 +158,27 @@
     return Duration.ofNanos(Math.round(number(name, min, max) * 1e9));
   }
 
-  public Duration secondsOr(String name, double fallback, double min, double max)
+  public Duration secondsOr(String name, double defaultValue, double min, double max)
       throws SettingsException {
-    return Duration.ofNanos(Math.round(numberOr(name, fallback, min, max) * 1e9));
+    return Duration.ofNanos(Math.round(numberOr(name, defaultValue, min, max) * 1e9));
   }
 
   public InetSocketAddress address(String name) throws SettingsException {
     try {
-      return Addresses.parse(text(name));
+      return Addresses.parse(string(name));
     } catch (InvalidMessageException e) {
-      throw new SettingsException(key(name) + ": " + e.getMessage());
+      throw new SettingsException(fullKey(name) + ": " + e.getMessage());
     }
   }
 
-  public List<String> texts(String name) throws SettingsException {
-    List<String> texts = new ArrayList<>();
-    for (JsonNode value : need(name)) {
+  public List<String> strings(String name) throws SettingsException {
+    List<String> strings = new ArrayList<>();
+    for (JsonNode value : require(name)) {
       if (!value.isTextual()) {
-        throw new SettingsException(key(name) + ": not a list of texts");
+        throw new SettingsException(fullKey(name) + ": not a list of strings");
       }
-      texts.add(value.textValue());
+      strings.add(value.textValue());
     }
-    return List.copyOf(texts);
+    return List.copyOf(strings);
   }
 }
--- a/src/main/java/io/tansystack/store/StoreClient.java
+++ b/src/main/java/io/tansystack/store/StoreClient.java
@@ -296,7 +296,7 @@
               if (status == 200 || status == 404 || status == 409) {
                 lastSuccess = loop.now();
               }
-              callback.take(status, map);
+              callback.onResult(status, map);
             }));
   }
 }
--- a/src/main/java/io/tansystack/workers/CommandSender.java
+++ b/src/main/java/io/tansystack/workers/CommandSender.java
@@ -161,7 +161,7 @@
         COMMANDS_TIMEOUT,
         new HttpClient.ResponseHandler() {
           @Override
-          public void answer(int status, byte[] body) {
+          public void onResponse(int status, byte[] body) {
             machine.commandsInFlight = false;
             machine.commandFailures = 0;
             try {
@@ -190,7 +190,7 @@
           }
 
           @Override
-          public void silence(boolean refused) {
+          public void onNoResponse(boolean refused) {
             machine.commandsInFlight = false;
             machine.stopSentAt.clear();
             machine.commandFailures = Math.min(machine.commandFailures + 1, 4);
--- a/src/test/java/io/tansystack/PackagesTest.java
+++ b/src/test/java/io/tansystack/PackagesTest.java
@@ -16,13 +16,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Packages are by concern: whoever reads one must not need those that build on it. */
+/**
+ * Imports between the packages must form no cycle, so that a package can be read without those that
+ * build on it.
+ */
 class PackagesTest {
   private static final Path SOURCES = Path.of("src/main/java/io/tansystack");
   private static final Pattern IMPORT =
       Pattern.compile("^import (?:static )?io\\.tansystack\\.([a-z]+)\\.", Pattern.MULTILINE);
 
-  private static Map<String, Set<String>> imports() throws IOException {
+  private static Map<String, Set<String>> importsByPackage() throws IOException {
     Map<String, Set<String>> imports = new TreeMap<>();
     try (Stream<Path> walk = Files.walk(SOURCES)) {
       for (Path file : walk.filter(p -> p.toString().endsWith(".java")).toList()) {
@@ -39,19 +42,19 @@
   }
 
   @Test
-  void noPackageNeedsOneThatBuildsOnIt() throws IOException {
-    Map<String, Set<String>> imports = imports();
+  void packageDependenciesHaveNoCycles() throws IOException {
+    Map<String, Set<String>> imports = importsByPackage();
     assertTrue(imports.size() > 5, imports.keySet().toString());
-    // What imports nothing that is left can't be part of a circle.
-    boolean shrunk = true;
-    while (shrunk) {
-      List<String> free =
+    // Removes packages that import none of the remaining ones: they are not on a cycle.
+    boolean removedAny = true;
+    while (removedAny) {
+      List<String> independent =
           imports.keySet().stream()
               .filter(name -> imports.get(name).stream().noneMatch(imports::containsKey))
               .toList();
-      free.forEach(imports::remove);
-      shrunk = !free.isEmpty();
+      independent.forEach(imports::remove);
+      removedAny = !independent.isEmpty();
     }
-    assertEquals(Map.of(), imports, "packages in a circle, and those that need them");
+    assertEquals(Map.of(), imports, "packages on an import cycle, and those that import them");
   }
 }
--- a/src/test/java/io/tansystack/fleet/RentalsTest.java
+++ b/src/test/java/io/tansystack/fleet/RentalsTest.java
@@ -81,9 +81,9 @@
         loop.execute(
             () -> {
               if (sentStatus == 0) {
-                handler.silence(false);
+                handler.onNoResponse(false);
               } else {
-                handler.answer(sentStatus, Cbor.encode(response));
+                handler.onResponse(sentStatus, Cbor.encode(response));
               }
             });
       };
--- a/src/test/java/io/tansystack/settings/SettingsTest.java
+++ b/src/test/java/io/tansystack/settings/SettingsTest.java
@@ -9,8 +9,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Invalid settings must be rejected with the key, unknown keys ignored. */
 public class SettingsTest {
-  public static final String GOOD =
+  /** Valid platform settings; the simulated cluster of other tests starts from them too. */
+  public static final String VALID =
       """
       label = "c-0"
       zone = "a"
@@ -53,12 +55,12 @@
       """;
 
   @Test
-  void readsTheFormAndIgnoresWhatItDoesNotKnow() throws Exception {
-    PlatformSettings settings = PlatformSettings.parse(GOOD);
-    assertEquals(Duration.ofSeconds(36), settings.workers().lease());
-    assertEquals(Duration.ofMillis(250), settings.skew());
+  void readsKnownKeysAndIgnoresUnknownOnes() throws Exception {
+    PlatformSettings settings = PlatformSettings.parse(VALID);
+    assertEquals(Duration.ofSeconds(36), settings.workerTimings().leaseDuration());
+    assertEquals(Duration.ofMillis(250), settings.maxClockSkew());
     assertEquals(8, settings.team("vision").gpusMax());
-    assertEquals(16384, settings.store().valueBytes());
+    assertEquals(16384, settings.stateServiceLimits().maxValueBytes());
   }
 
   @ParameterizedTest
@@ -75,14 +77,14 @@
         "txn_ops = 16|txn_ops = 1.5|cluster.state.txn_ops",
         "gpus = 4.0|gpus = true|cluster.teams[0].gpus"
       })
-  void errorsNameTheKey(String from, String to, String key) {
-    String text = GOOD.replace(from, to == null ? "" : to);
+  void errorsNameTheKey(String original, String replacement, String key) {
+    String text = VALID.replace(original, replacement == null ? "" : replacement);
     SettingsException e =
         assertThrows(SettingsException.class, () -> PlatformSettings.parse(text));
     assertTrue(e.getMessage().startsWith(key + ":"), e.getMessage());
   }
 
-  /** Aims of the platform's file: known kinds are checked, others are left out. */
+  /** The keys of known kinds are checked; objectives of other kinds are left out. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -98,11 +100,12 @@
         "kind = \"deadline\"; class = \"c\"; share = 0.6; times = 0.0|0|cluster.objectives[0].times",
         "class = \"c\"; share = 0.6|0|cluster.objectives[0].kind"
       })
-  void aimsAreCheckedAndUnknownKindsIgnored(String aim, int count, String key) throws Exception {
+  void objectivesAreCheckedAndUnknownKindsIgnored(String objective, int count, String key)
+      throws Exception {
     String text =
-        GOOD.replace(
+        VALID.replace(
             "[cluster.workers]",
-            "[[cluster.objectives]]\n" + aim.replace("; ", "\n") + "\n[cluster.workers]");
+            "[[cluster.objectives]]\n" + objective.replace("; ", "\n") + "\n[cluster.workers]");
     if (key == null) {
       assertEquals(count, PlatformSettings.parse(text).objectives().size());
     } else {
@@ -113,7 +116,7 @@
   }
 
   @Test
-  void operatorsKeysHaveDefaultsAndBounds() throws Exception {
+  void operatorSettingsHaveDefaultsAndBounds() throws Exception {
     assertEquals(OperatorSettings.defaults(), OperatorSettings.parse("[rent]\n"));
     SettingsException e =
         assertThrows(
--- a/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
+++ b/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
@@ -28,7 +28,7 @@
   /** Half of the jobs have two tasks; none ends by itself while the gap lasts. */
   private void running(double lease, double cancel, int count) throws Exception {
     settings =
-        SettingsTest.GOOD
+        SettingsTest.VALID
             .replace("cpus_max = 40.0", "cpus_max = 0.0")
             .replace("lease_s = 36.0", "lease_s = " + lease)
             .replace("cancel_s = 61.0", "cancel_s = " + cancel);
--- a/src/test/java/io/tansystack/sim/ClusterTest.java
+++ b/src/test/java/io/tansystack/sim/ClusterTest.java
@@ -48,7 +48,7 @@
   @ParameterizedTest
   @CsvSource({"16.0,201", "8.0,422"})
   void aDescriptionThatFitsNoValueIsRefused(String valueKb, int status) throws Exception {
-    settings = SettingsTest.GOOD.replace("value_kb = 16.0", "value_kb = " + valueKb);
+    settings = SettingsTest.VALID.replace("value_kb = 16.0", "value_kb = " + valueKb);
     boot(0);
     loop.runFor(Duration.ofSeconds(2));
     ObjectNode job = spec("wk-000001", 1).write();
@@ -273,7 +273,7 @@
   /** On a large fleet one controller has all duties, whoever claimed them first, and another after its end. */
   @Test
   void onALargeFleetOneHasAllDuties() throws Exception {
-    settings = SettingsTest.GOOD.replace("cpus_max = 40.0", "cpus_max = 0.0");
+    settings = SettingsTest.VALID.replace("cpus_max = 40.0", "cpus_max = 0.0");
     maxMachines = 200;
     bootThreeWithWork(800);
     loop.runFor(Duration.ofSeconds(20));
@@ -301,7 +301,7 @@
     loop.runFor(Duration.ofSeconds(5));
     int[] answer = new int[2];
     for (String path : List.of("/v1/jobs/wk-000001", "/v1/jobs/wk-000001/abort", "/v1/jobs")) {
-      controllers.get(0).front(
+      controllers.get(0).handleFront(
           path.startsWith("/v1/jobs/wk-000001") && !path.endsWith("abort") ? "GET" : "POST",
           path,
           Cbor.encode(spec("wk-000002", 1).write()),
--- a/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
@@ -106,7 +106,7 @@
     for (int i = 0; i < 10; i++) {
       String id = id(i);
       users().cancel(id, 0);
-      loop.after(Duration.ofMillis(900), () -> processes.get(1).run(() -> controllers.get(1).front(
+      loop.after(Duration.ofMillis(900), () -> processes.get(1).run(() -> controllers.get(1).handleFront(
           "POST", "/v1/jobs", Cbor.encode(spec(id, 2).write()), (status, body, retry) -> answers.add(
               (users().jobs.get(id).cancelled != null) + " " + status + " " + decode(body).path("Status").asText()))));
     }
--- a/src/test/java/io/tansystack/sim/FaultScenario.java
+++ b/src/test/java/io/tansystack/sim/FaultScenario.java
@@ -19,7 +19,7 @@
   int jobs;
 
   {
-    settings = SettingsTest.GOOD.replace("cpus_max = 40.0", "cpus_max = 60.0");
+    settings = SettingsTest.VALID.replace("cpus_max = 40.0", "cpus_max = 60.0");
   }
 
   /** Whether the tasks of a job end far apart: the second runs three times as long, the third five times. */
@@ -48,7 +48,7 @@
 
   /** Two teams at limits that they reach soon, of CPUs and, the first, of GPUs; machines of two types. */
   static String twoTeams(int cpus, int gpus, int otherCpus) {
-    return SettingsTest.GOOD
+    return SettingsTest.VALID
         .replace("cpus_max = 40.0", "cpus_max = " + cpus + ".0")
         .replace("gpus_max = 8.0", "gpus_max = " + gpus + ".0")
         .replace(
--- a/src/test/java/io/tansystack/sim/FullRestartTest.java
+++ b/src/test/java/io/tansystack/sim/FullRestartTest.java
@@ -38,7 +38,7 @@
   }
 
   private void running(int controllers, int machines) throws Exception {
-    settings = SettingsTest.GOOD.replace("cpus_max = 40.0", "cpus_max = 0.0");
+    settings = SettingsTest.VALID.replace("cpus_max = 40.0", "cpus_max = 0.0");
     controllerCount = controllers;
     maxMachines = machines;
     for (int i = 0; i < controllers; i++) {
--- a/src/test/java/io/tansystack/sim/HistoryCheckerTest.java
+++ b/src/test/java/io/tansystack/sim/HistoryCheckerTest.java
@@ -78,7 +78,7 @@
 
   /** Two teams, of which the second may use two GPUs and no more than 40 CPUs, like the first. */
   private static String twoTeams() {
-    return SettingsTest.GOOD.replace("[cluster.workers]", "[[cluster.teams]]\nname = \"ops\"\ncpus_max = 40.0\n"
+    return SettingsTest.VALID.replace("[cluster.workers]", "[[cluster.teams]]\nname = \"ops\"\ncpus_max = 40.0\n"
         + "gpus_max = 2.0\n\n[cluster.workers]");
   }
 
--- a/src/test/java/io/tansystack/sim/JobArchivalTest.java
+++ b/src/test/java/io/tansystack/sim/JobArchivalTest.java
@@ -134,7 +134,7 @@
       for (int i = 0; i < 3; i++) {
         controllers
             .get(i)
-            .front("GET", "/up", new byte[0], (status, body, r) -> ready[0] += status == 200 ? 1 : 0);
+            .handleFront("GET", "/up", new byte[0], (status, body, r) -> ready[0] += status == 200 ? 1 : 0);
       }
     }
     Start start = new Start((int) store.requests(), (int) store.refused(), loop.now().minus(from));
--- a/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
+++ b/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
@@ -105,7 +105,7 @@
     loop.runFor(Duration.ofSeconds(seconds));
     if (seconds > 5 && seconds < 90) {
       int[] status = new int[1];
-      controllers.get(victim).front("GET", "/up", new byte[0], (s, b, r) -> status[0] = s);
+      controllers.get(victim).handleFront("GET", "/up", new byte[0], (s, b, r) -> status[0] = s);
       assertEquals(503, status[0], "users had better go to another");
     }
     apart.clear();
@@ -147,7 +147,7 @@
     int[] status = new int[controllerCount];
     for (int i = 0; i < controllerCount; i++) {
       int to = i;
-      processes.get(to).run(() -> controllers.get(to).front("POST", "/v1/report", body,
+      processes.get(to).run(() -> controllers.get(to).handleFront("POST", "/v1/report", body,
           (s, bytes, retryAfter) -> status[to] = s));
     }
     loop.runFor(Duration.ofSeconds(6));
--- a/src/test/java/io/tansystack/sim/RandomFaultRun.java
+++ b/src/test/java/io/tansystack/sim/RandomFaultRun.java
@@ -93,7 +93,7 @@
     random = new Random(seed);
     boolean short18 = random.nextBoolean();
     settings =
-        SettingsTest.GOOD
+        SettingsTest.VALID
             .replace("cpus_max = 40.0", "cpus_max = " + (random.nextBoolean() ? "30.0" : "0.0"))
             .replace("lease_s = 36.0", short18 ? "lease_s = 18.0" : "lease_s = 36.0")
             .replace("cancel_s = 61.0", short18 ? "cancel_s = 43.0" : "cancel_s = 61.0");
--- a/src/test/java/io/tansystack/sim/SimCluster.java
+++ b/src/test/java/io/tansystack/sim/SimCluster.java
@@ -71,7 +71,7 @@
       if (silent.contains(entry.getKey())) {
         continue;
       }
-      processes.get(entry.getKey()).run(() -> entry.getValue().front(method, path, body, (s, bytes, r) -> {
+      processes.get(entry.getKey()).run(() -> entry.getValue().handleFront(method, path, body, (s, bytes, r) -> {
         status[0] = s;
         into[0] = decode(bytes);
       }));
@@ -109,7 +109,7 @@
     for (JobSpec spec : specs) {
       answers.put(spec.id(), 0);
       if (controller != null) {
-        processes.get(to).run(() -> controller.front("POST", "/v1/jobs", Cbor.encode(spec.write()),
+        processes.get(to).run(() -> controller.handleFront("POST", "/v1/jobs", Cbor.encode(spec.write()),
             (status, bytes, r) -> answers.put(spec.id(), status)));
       }
     }
--- a/src/test/java/io/tansystack/sim/SimFleet.java
+++ b/src/test/java/io/tansystack/sim/SimFleet.java
@@ -84,7 +84,7 @@
         next.run();
       }
     };
-    processes.get(target(worker)).run(() -> controller.front("POST", "/v1/report", body, reply));
+    processes.get(target(worker)).run(() -> controller.handleFront("POST", "/v1/report", body, reply));
   }
 
   /** From seconds to well over a lease later, and whoever answers, nobody hears it. */
@@ -119,7 +119,7 @@
   private void copyTo(int to, byte[] body) {
     Controller controller = controllers.get(to);
     if (controller != null && !silent.contains(to)) {
-      processes.get(to).run(() -> controller.front("POST", "/v1/report", body, (s, b, r) -> {}));
+      processes.get(to).run(() -> controller.handleFront("POST", "/v1/report", body, (s, b, r) -> {}));
     }
   }
 }
--- a/src/test/java/io/tansystack/sim/SimNetwork.java
+++ b/src/test/java/io/tansystack/sim/SimNetwork.java
@@ -57,7 +57,7 @@
   int controllerCount = 1;
 
   /** The platform's settings, of which label, addresses and size are each controller's own. */
-  String settings = SettingsTest.GOOD;
+  String settings = SettingsTest.VALID;
 
   final EmulatedCloud cloud = new EmulatedCloud(loop, this);
 
@@ -318,7 +318,7 @@
   HttpClient caller(SimEventLoop.ProcessLoop from, int index) {
     return (to, method, path, body, timeout, outcome) -> {
       if (to.equals(STORE) && (index == refused || outage)) {
-        from.execute(() -> outcome.answer(503, Cbor.encode(Cbor.map())));
+        from.execute(() -> outcome.onResponse(503, Cbor.encode(Cbor.map())));
         return;
       }
       boolean[] over = {false};
@@ -327,14 +327,14 @@
           () -> {
             if (!over[0]) {
               over[0] = true;
-              outcome.silence(false);
+              outcome.onNoResponse(false);
             }
           });
       int peer = to.getPort() < 9000 && to.getPort() > 8080 ? (to.getPort() - 8080) / 10 : -1;
       if (peersRefuse && peer >= 0 && !to.equals(CLOUD)) {
         from.execute(() -> {
           over[0] = true;
-          outcome.silence(true);
+          outcome.onNoResponse(true);
         });
         return;
       }
@@ -343,7 +343,7 @@
             Duration.ofMillis(2),
             () -> {
               over[0] = true;
-              outcome.silence(true); // Nobody listens where a process has ended.
+              outcome.onNoResponse(true); // Nobody listens where a process has ended.
             });
         return;
       }
@@ -357,7 +357,7 @@
       }
       boolean commits = to.equals(STORE) && path.equals("/commit") && body != null && ofKind(body);
       if (commits && overLimit) {
-        from.after(delay(to), () -> outcome.answer(429, Cbor.encode(Cbor.map())));
+        from.after(delay(to), () -> outcome.onResponse(429, Cbor.encode(Cbor.map())));
         return;
       }
       if (commits && drawn(lateWrites)) {
@@ -397,18 +397,18 @@
     String who = from.equals(STORE) ? "store" : from.equals(CLOUD) ? "cloud" : from.getPort() >= 9000 ? "workers" : "peers";
     boolean meant = (garbledBy.isEmpty() || garbledBy.equals(who)) && path.startsWith(garbledPath);
     if (!meant || !drawn(garbled)) {
-      outcome.answer(status, answer);
+      outcome.onResponse(status, answer);
       return;
     }
     ObjectNode wrong = Cbor.map().put("Ledger", "x").put("Stamp", -1).put("Berths", 3).put("Berth", 7);
     wrong.putArray("Pairs").add("none");
     switch (garbledAs >= 0 ? garbledAs : random.nextInt(6)) {
-      case 0 -> outcome.answer(status, new byte[] {(byte) 0xff, 3, 9});
-      case 1 -> outcome.answer(status, new byte[0]);
-      case 2 -> outcome.answer(status, Cbor.encode(Cbor.map()));
-      case 3 -> outcome.answer(status, Cbor.encode(wrong));
-      case 4 -> outcome.answer(500, answer);
-      default -> outcome.answer(404, Cbor.encode(Cbor.map()));
+      case 0 -> outcome.onResponse(status, new byte[] {(byte) 0xff, 3, 9});
+      case 1 -> outcome.onResponse(status, new byte[0]);
+      case 2 -> outcome.onResponse(status, Cbor.encode(Cbor.map()));
+      case 3 -> outcome.onResponse(status, Cbor.encode(wrong));
+      case 4 -> outcome.onResponse(500, answer);
+      default -> outcome.onResponse(404, Cbor.encode(Cbor.map()));
     }
   }
 
@@ -486,7 +486,7 @@
       if (controller != null) {
         Reply answer = (status, bytes, retry) -> back.accept(status, bytes);
         int index = (to.getPort() - 8080) / 10;
-        processes.get(index).run(() -> controller.peer(method, path, body, answer));
+        processes.get(index).run(() -> controller.handlePeer(method, path, body, answer));
       }
     }
   }
--- a/src/test/java/io/tansystack/sim/SimUsers.java
+++ b/src/test/java/io/tansystack/sim/SimUsers.java
@@ -263,7 +263,7 @@
     if (cluster.silent.contains(to) || cluster.cutOff(to)) {
       return;
     }
-    cluster.processes.get(to).run(() -> controller.front(method, path, body, (status, bytes, retry) -> {
+    cluster.processes.get(to).run(() -> controller.handleFront(method, path, body, (status, bytes, retry) -> {
       if (!over[0] && !cluster.silent.contains(to) && !cluster.cutOff(to)) {
         over[0] = true;
         then.accept(status, bytes);
--- a/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
@@ -74,9 +74,9 @@
     Map<String, Duration> told = new TreeMap<>();
     byte[] bad = Cbor.encode(Cbor.map().put("Uid", "wk-000099").put("Wagons", "many"));
     Duration asked = loop.now();
-    processes.get(0).run(() -> controllers.get(0).front("POST", "/v1/jobs", bad,
+    processes.get(0).run(() -> controllers.get(0).handleFront("POST", "/v1/jobs", bad,
         (status, bytes, r) -> told.put("bad " + status, loop.now().minus(asked))));
-    processes.get(0).run(() -> controllers.get(0).front("POST", "/v1/jobs/wk-000098/abort", new byte[0],
+    processes.get(0).run(() -> controllers.get(0).handleFront("POST", "/v1/jobs/wk-000098/abort", new byte[0],
         (status, bytes, r) -> told.put("abort " + status, loop.now().minus(asked))));
     loop.runFor(Duration.ofSeconds(3));
     assertEquals(Set.of("bad 400", "abort 404"), told.keySet());
--- a/src/test/java/io/tansystack/sim/SubmissionValidationTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionValidationTest.java
@@ -129,7 +129,7 @@
     int[] status = new int[3];
     for (int i = 0; i < 3; i++) {
       int at = i;
-      processes.get(i).run(() -> controllers.get(at).front("POST", "/v1/jobs", body, (s, b, r) -> status[at] = s));
+      processes.get(i).run(() -> controllers.get(at).handleFront("POST", "/v1/jobs", body, (s, b, r) -> status[at] = s));
     }
     loop.runFor(Duration.ofSeconds(2));
     return status;
@@ -227,7 +227,7 @@
       for (ObjectNode body : starts && round == 0 ? List.of(fits, never) : List.of(fits, never, lacks)) {
         int[] answer = {0};
         int[] again = {0};
-        processes.get(1).run(() -> controllers.get(1).front("POST", "/v1/jobs", Cbor.encode(body), (s, b, r) -> {
+        processes.get(1).run(() -> controllers.get(1).handleFront("POST", "/v1/jobs", Cbor.encode(body), (s, b, r) -> {
           answer[0] = s;
           again[0] = r;
         }));
