--- a/src/main/java/io/tansystack/cli/ScaleCommand.java
+++ b/src/main/java/io/tansystack/cli/ScaleCommand.java
@@ -84,7 +84,7 @@
       Logging.configure(System.getenv("LOG_LEVEL"));
       ScaleSettings settings =
           (settingsFile == null ? ScaleSettings.defaults() : ScaleSettings.load(settingsFile))
-              .sized(cells, workers, controllers, starts);
+              .withSizes(cells, workers, controllers, starts);
       Path runFolder = folder == null ? Files.createTempDirectory("tansystack-scale") : folder;
       Files.createDirectories(runFolder);
       ScaleResult result =
--- a/src/main/java/io/tansystack/emulator/CellAddresses.java
+++ b/src/main/java/io/tansystack/emulator/CellAddresses.java
@@ -4,10 +4,10 @@
 
 /**
  * Loopback addresses of one cell: {@code 127.C.0.x} for its services, {@code 127.C.1.x} for its
- * controllers and the rest for its workers, so that each worker has an address of its own as the
- * protocol wants it.
+ * controllers, and the other subnets of {@code 127.C} for its workers. Each worker has its own
+ * address, as the protocol requires.
  *
- * @param network the second number of all addresses of the cell
+ * @param network second octet of all addresses of the cell ({@code C} above)
  */
 record CellAddresses(int network) {
   private static final int FIRST_NETWORK = 20;
@@ -16,39 +16,43 @@
   private static final int FRONT_PORT = 8080;
   private static final int PEER_PORT = 8081;
   private static final int WORKER_PORT = 9000;
-  private static final int HOSTS = 250;
-  private static final int FIRST_WORKER_NET = 2;
+  private static final int HOSTS_PER_SUBNET = 250;
+  private static final int FIRST_WORKER_SUBNET = 2;
 
   static CellAddresses of(int cell) {
     return new CellAddresses(FIRST_NETWORK + cell);
   }
 
   InetSocketAddress state() {
-    return at(0, 1, STATE_PORT);
+    return address(0, 1, STATE_PORT);
   }
 
   InetSocketAddress cloud() {
-    return at(0, 2, CLOUD_PORT);
+    return address(0, 2, CLOUD_PORT);
   }
 
   InetSocketAddress front(int controller) {
-    return at(1, controller + 1, FRONT_PORT);
+    return address(1, controller + 1, FRONT_PORT);
   }
 
   InetSocketAddress peer(int controller) {
-    return at(1, controller + 1, PEER_PORT);
+    return address(1, controller + 1, PEER_PORT);
   }
 
-  /** @param number of the machine, never used again for another */
+  /** @param number number of the machine; it is never reused for another machine */
   InetSocketAddress worker(int number) {
-    return at(FIRST_WORKER_NET + number / HOSTS, 1 + number % HOSTS, WORKER_PORT);
+    return address(
+        FIRST_WORKER_SUBNET + number / HOSTS_PER_SUBNET,
+        1 + number % HOSTS_PER_SUBNET,
+        WORKER_PORT);
   }
 
-  private InetSocketAddress at(int net, int host, int port) {
-    return new InetSocketAddress("127." + network + "." + net + "." + host, port);
+  private InetSocketAddress address(int subnet, int host, int port) {
+    return new InetSocketAddress("127." + network + "." + subnet + "." + host, port);
   }
 
-  static String text(InetSocketAddress address) {
+  /** The address as text, host:port. */
+  static String hostAndPort(InetSocketAddress address) {
     return address.getHostString() + ":" + address.getPort();
   }
 }
--- a/src/main/java/io/tansystack/emulator/CellRun.java
+++ b/src/main/java/io/tansystack/emulator/CellRun.java
@@ -17,28 +17,29 @@
 import java.util.function.Consumer;
 
 /**
- * One cell of a scale run: real controllers, and emulators of all that is around them in this
- * process. Bounded in time; whatever happens, the processes that it started are ended.
+ * One cell of a scale run: real controller processes, and emulators of all other components in this
+ * process. The run time is bounded, and {@link #close} ends all processes that were started, even
+ * after a failure.
  */
 public final class CellRun implements AutoCloseable {
-  /** Work that comes in so much time at the usual rate is there at the beginning. */
-  private static final Duration HEAD = Duration.ofSeconds(30);
+  /** At the start, users submit at once the jobs that arrive in this time at the usual rate. */
+  private static final Duration INITIAL_BACKLOG = Duration.ofSeconds(30);
 
-  /** A job that has had no answer for so long at the end is forgotten. */
-  private static final Duration UNANSWERED = Duration.ofSeconds(20);
+  /** An accepted job without a successful response for this long at the end is a violation. */
+  private static final Duration UNANSWERED_LIMIT = Duration.ofSeconds(20);
 
-  private static final Duration PROGRESS_EVERY = Duration.ofSeconds(10);
+  private static final Duration PROGRESS_INTERVAL = Duration.ofSeconds(10);
 
-  /** A controller is back so long after its end. */
-  private static final Duration RESTART_AFTER = Duration.ofSeconds(3);
+  /** Time between the end of a controller process and its restart. */
+  private static final Duration RESTART_DELAY = Duration.ofSeconds(3);
 
   private final ScaleSettings settings;
   private final Consumer<String> progress;
   private final RoleEventLoop storeRole = new RoleEventLoop("state");
   private final RoleEventLoop workerRole = new RoleEventLoop("workers");
   private final RoleEventLoop userRole = new RoleEventLoop("users");
-  private final RuleChecker judge;
-  private final TaskTimes times;
+  private final RuleChecker ruleChecker;
+  private final TaskTimes taskTimes;
   private final EmulatedStore store;
   private final EmulatedFleet fleet;
   private final EmulatedUsers users;
@@ -46,14 +47,15 @@
   private final double memoryLimitMb;
 
   /**
-   * @param cell its number, which its addresses follow
-   * @param folder for settings and logs of its controllers
-   * @param memoryLimitMb the run ends where all its processes together need more
-   * @param progress told a line from time to time
+   * @param cellIndex index of the cell, from which its addresses are derived
+   * @param deployFile TOML file with the command line of a controller
+   * @param folder directory for settings and logs of the controllers
+   * @param memoryLimitMb the run is aborted when all its processes together use more than this
+   * @param progress receives a line of text at regular intervals
    */
   public CellRun(
       ScaleSettings settings,
-      int cell,
+      int cellIndex,
       Path deployFile,
       Path folder,
       double memoryLimitMb,
@@ -62,15 +64,15 @@
     this.settings = settings;
     this.progress = progress;
     this.memoryLimitMb = memoryLimitMb;
-    CellAddresses addresses = CellAddresses.of(cell);
-    this.judge = new RuleChecker(TeamLimits.of(settings));
-    this.times = new TaskTimes(() -> Duration.ofNanos(System.nanoTime()));
+    CellAddresses addresses = CellAddresses.of(cellIndex);
+    this.ruleChecker = new RuleChecker(TeamLimits.of(settings));
+    this.taskTimes = new TaskTimes(() -> Duration.ofNanos(System.nanoTime()));
     StoreLimits limits =
         new StoreLimits(
-            settings.state().rps(), settings.state().writeRps(), StoreLimits.MAX_PAGE);
+            settings.state().rps(), settings.state().writeRps(), StoreLimits.MAX_PAGE_SIZE);
     this.store = new EmulatedStore(storeRole.loop(), limits, () -> false);
-    this.fleet = new EmulatedFleet(workerRole, settings, addresses, judge, times);
-    this.users = new EmulatedUsers(userRole, settings, addresses, judge, times);
+    this.fleet = new EmulatedFleet(workerRole, settings, addresses, ruleChecker, taskTimes);
+    this.users = new EmulatedUsers(userRole, settings, addresses, ruleChecker, taskTimes);
     this.controllers = new ControllerLauncher(settings, addresses, deployFile, folder);
     EmulatedCloud cloud = new EmulatedCloud(workerRole.loop(), fleet);
     storeRole
@@ -81,7 +83,7 @@
                 store.handle(
                     method,
                     path,
-                    EmulatedFleet.decode(body),
+                    EmulatedFleet.decodeOrNull(body),
                     (status, map) -> reply.send(status, Cbor.encode(map))));
     workerRole
         .server()
@@ -90,41 +92,45 @@
             (method, path, body, reply) ->
                 cloud.handle(
                     path,
-                    body.length == 0 ? Cbor.map() : EmulatedFleet.decode(body),
+                    body.length == 0 ? Cbor.map() : EmulatedFleet.decodeOrNull(body),
                     (status, map) -> reply.send(status, Cbor.encode(map))));
   }
 
-  /** Plays the whole timeline. */
+  /**
+   * Runs the whole timeline.
+   *
+   * @throws IllegalStateException if the memory limit is exceeded or an emulated role fails
+   */
   public ScaleResult run() throws IOException, InterruptedException {
     ScaleSettings.Timeline timeline = settings.timeline();
-    Duration began = now();
+    Duration startedAt = now();
     controllers.startAll();
     workerRole.loop().execute(fleet::startAll);
-    userRole.loop().execute(() -> users.start(HEAD));
-    waitUntil(began.plus(timeline.warmUp()));
-    Duration warm = now();
-    times.record(true);
-    userRole.ask(() -> record(true));
+    userRole.loop().execute(() -> users.start(INITIAL_BACKLOG));
+    waitUntil(startedAt.plus(timeline.warmUp()));
+    Duration warmUpEnd = now();
+    taskTimes.setRecording(true);
+    userRole.call(() -> setRecording(true));
     Sample before = sample();
-    waitUntil(warm.plus(timeline.measured()));
+    waitUntil(warmUpEnd.plus(timeline.measured()));
     Sample after = sample();
     double memoryMb = memoryMb();
-    times.record(false);
-    userRole.ask(() -> record(false));
-    faults();
+    taskTimes.setRecording(false);
+    userRole.call(() -> setRecording(false));
+    injectFaults();
     userRole.loop().execute(users::stopSubmitting);
     waitUntil(now().plus(timeline.drain()));
-    userRole.ask(
+    userRole.call(
         () -> {
-          users.judgeUnanswered(now().minus(UNANSWERED));
+          users.reportUnanswered(now().minus(UNANSWERED_LIMIT));
           return null;
         });
-    judge.atTheEnd();
-    return result(before, after, warm, memoryMb, now().minus(began));
+    ruleChecker.checkAtEnd();
+    return result(before, after, warmUpEnd, memoryMb, now().minus(startedAt));
   }
 
-  private Void record(boolean on) {
-    users.record(on);
+  private Void setRecording(boolean on) {
+    users.setRecording(on);
     return null;
   }
 
@@ -132,19 +138,24 @@
     return Duration.ofNanos(System.nanoTime());
   }
 
-  private void waitUntil(Duration at) throws InterruptedException {
-    while (now().compareTo(at) < 0) {
-      Duration left = at.minus(now());
-      Duration step = left.compareTo(PROGRESS_EVERY) < 0 ? left : PROGRESS_EVERY;
+  private void waitUntil(Duration deadline) throws InterruptedException {
+    while (now().compareTo(deadline) < 0) {
+      Duration remaining = deadline.minus(now());
+      Duration step = remaining.compareTo(PROGRESS_INTERVAL) < 0 ? remaining : PROGRESS_INTERVAL;
       Thread.sleep(Math.max(1, step.toMillis()));
       double memoryMb = memoryMb();
       progress.accept(
           String.format(
-              "%d workers, %d tasks on them, %d starts, %d rules broken, %.0f MB",
-              fleet.alive(), judge.running(), times.starts(), judge.brokenCount(), memoryMb));
+              "%d workers, %d tasks on workers, %d starts, %d rule violations, %.0f MB",
+              fleet.aliveCount(),
+              ruleChecker.runningTasks(),
+              taskTimes.starts(),
+              ruleChecker.violationCount(),
+              memoryMb));
       if (memoryMb > memoryLimitMb) {
         throw new IllegalStateException(
-            String.format("%.0f MB are in use, %.0f are allowed", memoryMb, memoryLimitMb));
+            String.format(
+                "memory limit exceeded: %.0f MB in use, %.0f MB allowed", memoryMb, memoryLimitMb));
       }
     }
   }
@@ -158,34 +169,34 @@
     return sum;
   }
 
-  /** A rack dies, the controllers are restarted one by one, and the planner's ends once more. */
-  private void faults() throws IOException, InterruptedException {
+  /** Kills a rack, restarts the controllers one by one, and then the planner once more. */
+  private void injectFaults() throws IOException, InterruptedException {
     ScaleSettings.Faults faults = settings.faults();
-    if (faults.lasts().isZero()) {
+    if (faults.duration().isZero()) {
       return;
     }
-    Duration until = now().plus(faults.lasts());
-    workerRole.loop().execute(() -> fleet.killRack(faults.rack()));
-    progress.accept("a rack of " + faults.rack() + " workers has died");
+    Duration end = now().plus(faults.duration());
+    workerRole.loop().execute(() -> fleet.killRack(faults.rackSize()));
+    progress.accept("killed a rack of " + faults.rackSize() + " workers");
     for (int i = 0; i < controllers.size(); i++) {
-      waitUntil(now().plus(faults.restartEvery()));
+      waitUntil(now().plus(faults.restartInterval()));
       restart(i);
     }
-    waitUntil(now().plus(faults.restartEvery()));
-    restart(planner());
-    waitUntil(until);
+    waitUntil(now().plus(faults.restartInterval()));
+    restart(plannerIndex());
+    waitUntil(end);
   }
 
   private void restart(int controller) throws IOException, InterruptedException {
-    progress.accept("controller " + controller + " ends and comes back");
+    progress.accept("controller " + controller + " is killed and restarted");
     controllers.kill(controller);
-    Thread.sleep(RESTART_AFTER.toMillis());
+    Thread.sleep(RESTART_DELAY.toMillis());
     controllers.start(controller);
   }
 
-  /** The controller that deals with the cloud and plans; the first where nobody does. */
-  private int planner() throws InterruptedException {
-    return storeRole.ask(
+  /** Index of the controller that has the autoscaler role and plans; 0 if no controller has it. */
+  private int plannerIndex() throws InterruptedException {
+    return storeRole.call(
         () -> {
           var fleetKey = store.value("ts/fleet");
           String label = fleetKey == null ? ReportSender.label(0) : fleetKey.path("label").asText();
@@ -193,17 +204,17 @@
         });
   }
 
-  /** All counters at one moment. */
+  /** Values of all counters at one moment. */
   private record Sample(
-      Duration at,
+      Duration takenAt,
       long starts,
       List<ProcessUsage> controllers,
-      Duration storeTime,
-      Duration workerTime,
-      Duration userTime,
+      Duration storeCpuTime,
+      Duration workerCpuTime,
+      Duration userCpuTime,
       long requests,
       long writes,
-      long refused,
+      long rejected,
       Map<String, Long> writesByKind,
       TrafficCounters traffic) {}
 
@@ -212,52 +223,58 @@
     for (int i = 0; i < controllers.size(); i++) {
       usages.add(controllers.usage(i));
     }
-    long[] counts = storeRole.ask(() -> new long[] {store.requests(), store.writes(), store.refused()});
+    long[] counts =
+        storeRole.call(() -> new long[] {store.requests(), store.writes(), store.rejected()});
     return new Sample(
         now(),
-        times.starts(),
+        taskTimes.starts(),
         usages,
-        storeRole.processorTime(),
-        workerRole.processorTime(),
-        userRole.processorTime(),
+        storeRole.cpuTime(),
+        workerRole.cpuTime(),
+        userRole.cpuTime(),
         counts[0],
         counts[1],
         counts[2],
-        storeRole.ask(store::writesByKind),
-        workerRole.ask(fleet::traffic));
+        storeRole.call(store::writesByKind),
+        workerRole.call(fleet::traffic));
   }
 
   private ScaleResult result(
-      Sample before, Sample after, Duration warm, double memoryMb, Duration took)
+      Sample before, Sample after, Duration warmUpEnd, double memoryMb, Duration duration)
       throws InterruptedException {
-    double seconds = seconds(after.at.minus(before.at));
-    int planner = planner();
+    double seconds = seconds(after.takenAt.minus(before.takenAt));
+    int planner = plannerIndex();
     List<ClassResult> classes = new ArrayList<>();
     for (String name : WorkloadGenerator.CLASSES) {
-      double begun = userRole.ask(() -> users.begun(name, warm));
-      classes.add(new ClassResult(name, begun, times.waitMs(name, 50), times.waitMs(name, 99)));
+      double startedShare = userRole.call(() -> users.startedShare(name, warmUpEnd));
+      classes.add(
+          new ClassResult(
+              name, startedShare, taskTimes.waitMs(name, 50), taskTimes.waitMs(name, 99)));
     }
     return new ScaleResult(
         1,
         settings.workers(),
         settings.controllers(),
-        seconds(took),
+        seconds(duration),
         (after.starts - before.starts) / seconds,
         settings.startsPerSecond(),
-        judge.running(),
-        workerRole.ask(fleet::alive),
-        workerRole.ask(fleet::lostTasks),
+        ruleChecker.runningTasks(),
+        workerRole.call(fleet::aliveCount),
+        workerRole.call(fleet::lostTaskCount),
         memoryMb,
         classes,
-        userRole.ask(
+        userRole.call(
             () ->
                 new Submissions(
-                    users.submitted(), users.acceptedMs(50), users.acceptedMs(99), users.refused())),
+                    users.submittedCount(),
+                    users.acceptedMs(50),
+                    users.acceptedMs(99),
+                    users.rejectedCount())),
         roles(before, after, seconds, planner),
         storeResult(before, after, seconds),
-        traffic(before.traffic, after.traffic, seconds),
-        judge.brokenCount(),
-        judge.broken());
+        trafficPerWorker(before.traffic, after.traffic, seconds),
+        ruleChecker.violationCount(),
+        ruleChecker.violations());
   }
 
   private static double seconds(Duration duration) {
@@ -265,18 +282,18 @@
   }
 
   private List<RoleResult> roles(Sample before, Sample after, double seconds, int planner) {
-    List<Integer> owners = new ArrayList<>();
+    List<Integer> others = new ArrayList<>();
     for (int i = 0; i < controllers.size(); i++) {
       if (i != planner) {
-        owners.add(i);
+        others.add(i);
       }
     }
     List<RoleResult> roles = new ArrayList<>();
     roles.add(controllerRole("planner", List.of(planner), before, after, seconds));
-    roles.add(controllerRole("other controllers", owners, before, after, seconds));
-    roles.add(threadRole("state service", before.storeTime, after.storeTime, seconds));
-    roles.add(threadRole("workers and cloud", before.workerTime, after.workerTime, seconds));
-    roles.add(threadRole("users", before.userTime, after.userTime, seconds));
+    roles.add(controllerRole("other controllers", others, before, after, seconds));
+    roles.add(threadRole("state service", before.storeCpuTime, after.storeCpuTime, seconds));
+    roles.add(threadRole("workers and cloud", before.workerCpuTime, after.workerCpuTime, seconds));
+    roles.add(threadRole("users", before.userCpuTime, after.userCpuTime, seconds));
     return roles;
   }
 
@@ -284,22 +301,23 @@
       String name, List<Integer> members, Sample before, Sample after, double seconds) {
     double cores = 0;
     double memoryMb = 0;
-    double in = 0;
-    double out = 0;
-    int counted = 0;
+    double inKb = 0;
+    double outKb = 0;
+    int measured = 0;
     for (int member : members) {
-      ProcessUsage from = before.controllers.get(member);
-      ProcessUsage to = after.controllers.get(member);
-      if (from != null && to != null) {
-        counted++;
-        cores += seconds(to.processor().minus(from.processor())) / seconds;
-        memoryMb += to.residentMb();
-        in += (to.readBytes() - from.readBytes()) / 1024.0 / seconds;
-        out += (to.writtenBytes() - from.writtenBytes()) / 1024.0 / seconds;
+      ProcessUsage start = before.controllers.get(member);
+      ProcessUsage end = after.controllers.get(member);
+      if (start != null && end != null) {
+        measured++;
+        cores += seconds(end.cpuTime().minus(start.cpuTime())) / seconds;
+        memoryMb += end.residentMb();
+        inKb += (end.readBytes() - start.readBytes()) / 1024.0 / seconds;
+        outKb += (end.writtenBytes() - start.writtenBytes()) / 1024.0 / seconds;
       }
     }
-    int of = Math.max(1, counted);
-    return new RoleResult(name, counted, cores / of, memoryMb / of, in / of, out / of);
+    int divisor = Math.max(1, measured);
+    return new RoleResult(
+        name, measured, cores / divisor, memoryMb / divisor, inKb / divisor, outKb / divisor);
   }
 
   private static RoleResult threadRole(
@@ -310,7 +328,7 @@
   private StoreResult storeResult(Sample before, Sample after, double seconds)
       throws InterruptedException {
     double[] size =
-        storeRole.ask(
+        storeRole.call(
             () -> {
               double bytes = 0;
               var values = store.values("");
@@ -324,7 +342,7 @@
         size[1],
         (after.requests - before.requests) / seconds,
         (after.writes - before.writes) / seconds,
-        (after.refused - before.refused) / seconds,
+        (after.rejected - before.rejected) / seconds,
         rates(before.writesByKind, after.writesByKind, seconds));
   }
 
@@ -336,20 +354,21 @@
     return rates;
   }
 
-  private WorkerTraffic traffic(TrafficCounters before, TrafficCounters after, double seconds) {
-    double of = seconds * settings.workers();
+  private WorkerTraffic trafficPerWorker(
+      TrafficCounters before, TrafficCounters after, double seconds) {
+    double workerSeconds = seconds * settings.workers();
     double bytes =
         after.reportBytes - before.reportBytes + after.commandBytes - before.commandBytes;
     return new WorkerTraffic(
-        (after.reports - before.reports) / of,
-        (after.commands - before.commands) / of,
-        bytes / of);
+        (after.reports - before.reports) / workerSeconds,
+        (after.commands - before.commands) / workerSeconds,
+        bytes / workerSeconds);
   }
 
-  /** Ends all processes and threads of the cell. */
+  /** Ends all controller processes and threads of the cell. */
   @Override
   public void close() {
-    controllers.stop();
+    controllers.stopAll();
     userRole.stop();
     workerRole.stop();
     storeRole.stop();
--- a/src/main/java/io/tansystack/emulator/ControllerLauncher.java
+++ b/src/main/java/io/tansystack/emulator/ControllerLauncher.java
@@ -11,26 +11,30 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The controllers of a cell: real processes, started by the run line of the deploy file. */
+/**
+ * Starts and kills the controllers of a cell, which are real processes, with the command line given
+ * in the deploy file.
+ */
 final class ControllerLauncher {
-  private static final int CONNECTIONS = 8_000;
+  private static final int MAX_CONNECTIONS = 8_000;
 
   private final ScaleSettings settings;
   private final CellAddresses addresses;
-  private final List<String> runLine;
+  private final List<String> commandLine;
   private final Path root;
   private final Path folder;
   private final List<Process> processes = new ArrayList<>();
 
   /**
-   * @param deployFile names the run line, which is relative to the folder above the file's
-   * @param folder for settings and logs
+   * @param deployFile TOML file whose key {@code run} is the command line; it is run in the parent
+   *     of the directory that contains the file
+   * @param folder directory for settings and logs of the controllers
    */
   ControllerLauncher(ScaleSettings settings, CellAddresses addresses, Path deployFile, Path folder)
       throws SettingsException {
     this.settings = settings;
     this.addresses = addresses;
-    this.runLine = List.of(TomlTable.load(deployFile).string("run").trim().split("\\s+"));
+    this.commandLine = List.of(TomlTable.load(deployFile).string("run").trim().split("\\s+"));
     this.root = deployFile.toAbsolutePath().getParent().getParent();
     this.folder = folder;
     for (int i = 0; i < settings.controllers(); i++) {
@@ -46,8 +50,8 @@
 
   void start(int index) throws IOException {
     Path file = folder.resolve(ReportSender.label(index) + ".toml");
-    Files.writeString(file, settingsOf(index));
-    List<String> command = new ArrayList<>(runLine);
+    Files.writeString(file, settingsText(index));
+    List<String> command = new ArrayList<>(commandLine);
     command.add(file.toAbsolutePath().toString());
     File log = folder.resolve(ReportSender.label(index) + ".log").toFile();
     processes.set(
@@ -59,15 +63,15 @@
             .start());
   }
 
-  /** Ends the process without a signal that it could hear. */
+  /** Kills the process with a signal that it can't handle, and waits for its end. */
   void kill(int index) throws InterruptedException {
     Process process = processes.get(index);
     process.destroyForcibly();
     process.waitFor(5, TimeUnit.SECONDS);
   }
 
-  /** Ends all that are still running. */
-  void stop() {
+  /** Kills all controllers that are still running. */
+  void stopAll() {
     for (Process process : processes) {
       if (process != null) {
         process.destroyForcibly();
@@ -79,53 +83,53 @@
     return processes.size();
   }
 
-  boolean runs(int index) {
+  boolean isRunning(int index) {
     return processes.get(index) != null && processes.get(index).isAlive();
   }
 
-  /** Null if the process has ended. */
+  /** Resource usage of a controller; null if its process has ended. */
   ProcessUsage usage(int index) {
     Process process = processes.get(index);
     return process.isAlive() ? ProcessUsage.of(process.pid()) : null;
   }
 
-  private String settingsOf(int index) {
+  private String settingsText(int index) {
     List<String> zones = EmulatedFleet.zones(settings);
     StringBuilder text = new StringBuilder();
-    text.append(line("label", ReportSender.label(index)));
-    text.append(line("zone", zones.get(index % zones.size())));
-    text.append(line("front", CellAddresses.text(addresses.front(index))));
-    text.append(line("peer_bind", CellAddresses.text(addresses.peer(index))));
+    text.append(stringSetting("label", ReportSender.label(index)));
+    text.append(stringSetting("zone", zones.get(index % zones.size())));
+    text.append(stringSetting("front", CellAddresses.hostAndPort(addresses.front(index))));
+    text.append(stringSetting("peer_bind", CellAddresses.hostAndPort(addresses.peer(index))));
     for (int other = 0; other < settings.controllers(); other++) {
       if (other != index) {
         text.append("[[seeds]]\n");
-        text.append(line("label", ReportSender.label(other)));
-        text.append(line("zone", zones.get(other % zones.size())));
-        text.append(line("peer_addr", CellAddresses.text(addresses.peer(other))));
+        text.append(stringSetting("label", ReportSender.label(other)));
+        text.append(stringSetting("zone", zones.get(other % zones.size())));
+        text.append(stringSetting("peer_addr", CellAddresses.hostAndPort(addresses.peer(other))));
       }
     }
     text.append("[services]\n");
-    text.append(line("cloud", CellAddresses.text(addresses.cloud())));
-    text.append(line("state", CellAddresses.text(addresses.state())));
+    text.append(stringSetting("cloud", CellAddresses.hostAndPort(addresses.cloud())));
+    text.append(stringSetting("state", CellAddresses.hostAndPort(addresses.state())));
     text.append("[cluster]\nsize = ").append(settings.controllers());
     text.append("\nzones = [\"").append(String.join("\", \"", zones)).append("\"]\n");
     text.append("skew_ms = 50.0\n");
-    TeamLimits.of(settings).forEach((name, limit) -> text.append(team(name, limit)));
-    text.append(limits());
+    TeamLimits.of(settings).forEach((name, limit) -> text.append(teamSettings(name, limit)));
+    text.append(platformSettings());
     return text.toString();
   }
 
-  private static String line(String key, String value) {
+  private static String stringSetting(String key, String value) {
     return key + " = \"" + value + "\"\n";
   }
 
-  private static String team(String name, RuleChecker.Limit limit) {
+  private static String teamSettings(String name, RuleChecker.Limit limit) {
     return "[[cluster.teams]]\n"
-        + line("name", name)
+        + stringSetting("name", name)
         + "cpus_max = " + limit.cpus() + "\ngpus_max = " + limit.gpus() + "\n";
   }
 
-  private String limits() {
+  private String platformSettings() {
     ScaleSettings.WorkerTimes times = settings.workerTimes();
     ScaleSettings.StateService state = settings.state();
     return String.join(
@@ -136,11 +140,11 @@
         "within_s = 3.9",
         "share = 0.99",
         "[cluster.workers]",
-        "report_s = " + seconds(times.report()),
+        "report_s = " + seconds(times.reportInterval()),
         "lease_s = " + seconds(times.lease()),
         "gang_wait_s = " + seconds(times.gangWait()),
-        "gang_peer_s = " + seconds(times.gangPeer()),
-        "cancel_s = " + seconds(times.cancel()),
+        "gang_peer_s = " + seconds(times.gangPeerTimeout()),
+        "cancel_s = " + seconds(times.cancelLimit()),
         "[cluster.state]",
         "rps = " + state.rps(),
         "write_rps = " + state.writeRps(),
@@ -150,7 +154,7 @@
         "rps = " + settings.cloud().rps(),
         "list_lag_s = " + seconds(settings.cloud().listLag()),
         "[cluster.machine_limits]",
-        "max_connections = " + CONNECTIONS,
+        "max_connections = " + MAX_CONNECTIONS,
         "");
   }
 
--- a/src/main/java/io/tansystack/emulator/EmulatedCloud.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedCloud.java
@@ -13,67 +13,77 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** The cloud after its published protocol: rentals by name, deletions, and a list that lags. */
+/**
+ * Emulates the cloud's published protocol: rentals with idempotent request names, deletions, and a
+ * machine list that lags behind.
+ */
 public final class EmulatedCloud {
-  /** The machines behind the interface. */
+  /** Provides the machines behind the cloud's interface. */
   public interface MachineProvider {
+    /** All machine types that can be rented. */
     List<MachineType> types();
 
-    /** Rents a machine and tells its name; null if none of the kind is left. */
+    /** Rents a machine and returns its name; null if there is no capacity for this request. */
     String rent(MachineType type, String zone, boolean spot);
 
-    /** The machine and all on it are gone; nothing happens for an unknown name. */
+    /** Deletes a machine with all its tasks; an unknown name is ignored. */
     void delete(String name);
 
-    /** All machines that were rented and not deleted, in the order of their names. */
+    /** All machines that were rented and not deleted, ordered by name. */
     Collection<EmulatedWorker> rented();
 
-    /** By how much the list is behind. */
+    /** Time by which the machine list lags behind. */
     Duration listLag();
 
-    /** How long after its rental a machine is listed as running. */
+    /** Time from the rental of a machine until it is listed as running. */
     Duration bootTime(EmulatedWorker machine);
   }
 
   private final EventLoop loop;
-  private final MachineProvider park;
+  private final MachineProvider provider;
 
-  /** What was answered to each rental: one name rents once. */
+  /** Response to each rental by request name; a repeated request gets the same response. */
   private final Map<String, ObjectNode> rentals = new HashMap<>();
 
-  public EmulatedCloud(EventLoop loop, MachineProvider park) {
+  public EmulatedCloud(EventLoop loop, MachineProvider provider) {
     this.loop = loop;
-    this.park = park;
+    this.provider = provider;
   }
 
-  /** How many requests for machines were carried out. */
+  /** Number of rental requests that were carried out. */
   public int rentals() {
     return rentals.size();
   }
 
-  /** Carries out a request and answers it. */
+  /**
+   * Carries out a request and replies to it.
+   *
+   * @param path path with query parameters
+   * @param body empty map for requests without a body
+   * @param reply receives the HTTP status and the response body
+   */
   public void handle(String path, ObjectNode body, BiConsumer<Integer, ObjectNode> reply) {
     switch (path.indexOf('?') < 0 ? path : path.substring(0, path.indexOf('?'))) {
-      case "/machine_types" -> reply.accept(200, types());
+      case "/machine_types" -> reply.accept(200, listTypes());
       case "/machines/delete" -> {
-        body.get("Berths").forEach(name -> park.delete(name.asText()));
+        body.get("Berths").forEach(name -> provider.delete(name.asText()));
         reply.accept(200, Cbor.map());
       }
       case "/machines" -> {
         if (body.has("Charter")) {
           rent(body, reply);
         } else {
-          reply.accept(200, list(path));
+          reply.accept(200, listMachines(path));
         }
       }
       default -> reply.accept(404, Cbor.map());
     }
   }
 
-  private ObjectNode types() {
+  private ObjectNode listTypes() {
     ObjectNode map = Cbor.map();
     ArrayNode list = map.putArray("Fleets");
-    for (MachineType offered : park.types()) {
+    for (MachineType offered : provider.types()) {
       ObjectNode type = list.addObject();
       type.put("Label", offered.name()).put("Cpus", offered.cpus()).put("Gpus", offered.gpus());
       type.put("MemGb", offered.memGb()).put("CacheGb", offered.cacheGb());
@@ -92,13 +102,13 @@
     }
     String typeName = body.get("Fleet").asText();
     MachineType type =
-        park.types().stream().filter(t -> t.name().equals(typeName)).findFirst().orElseThrow();
+        provider.types().stream().filter(t -> t.name().equals(typeName)).findFirst().orElseThrow();
     ObjectNode map = Cbor.map();
     ArrayNode names = map.putArray("Berths");
     int count = Math.min(body.get("HowMany").asInt(), CloudProtocol.MAX_MACHINES_PER_RENT);
     boolean spot = body.path("Loaners").asBoolean();
     for (int i = 0; i < count; i++) {
-      String name = park.rent(type, body.get("Yard").asText(), spot);
+      String name = provider.rent(type, body.get("Yard").asText(), spot);
       if (name == null) {
         break;
       }
@@ -112,28 +122,28 @@
     reply.accept(200, map);
   }
 
-  private ObjectNode list(String path) {
+  private ObjectNode listMachines(String path) {
     ObjectNode map = Cbor.map();
     ArrayNode list = map.putArray("Berths");
-    String since = EmulatedStore.query(path, "Since");
-    Duration at = loop.now().minus(park.listLag());
+    String afterName = EmulatedStore.queryParameter(path, "Since");
+    Duration asOf = loop.now().minus(provider.listLag());
     boolean more = false;
-    for (EmulatedWorker machine : park.rented()) {
-      Duration age = at.minus(machine.rentedAt());
-      if (machine.name().compareTo(since) <= 0 || age.isNegative()) {
+    for (EmulatedWorker machine : provider.rented()) {
+      Duration age = asOf.minus(machine.rentedAt());
+      if (machine.name().compareTo(afterName) <= 0 || age.isNegative()) {
         continue;
       }
       more = list.size() == CloudProtocol.MACHINE_LIST_PAGE_SIZE;
       if (more) {
         break;
       }
-      add(list, machine, age);
+      addMachine(list, machine, age);
     }
     return map.put("HasNext", more);
   }
 
-  private void add(ArrayNode list, EmulatedWorker machine, Duration age) {
-    boolean up = age.compareTo(park.bootTime(machine)) >= 0;
+  private void addMachine(ArrayNode list, EmulatedWorker machine, Duration age) {
+    boolean up = age.compareTo(provider.bootTime(machine)) >= 0;
     ObjectNode node =
         list.addObject()
             .put("Uid", machine.name())
--- a/src/main/java/io/tansystack/emulator/EmulatedFleet.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedFleet.java
@@ -23,54 +23,62 @@
 import java.util.Random;
 import java.util.Set;
 
-/** All hollow workers of a cell and the machines that its cloud can rent; owned by one loop. */
+/**
+ * All emulated workers of a cell, and the machines that its cloud can rent. Confined to the event
+ * loop of its role.
+ */
 final class EmulatedFleet implements WorkerEnvironment, EmulatedCloud.MachineProvider {
-  /** Tasks run between so much shorter and so much longer than their owner's estimate. */
+  /** Largest relative deviation of a task's run time from its owner's estimate, either way. */
   private static final double ESTIMATE_ERROR = 0.4;
 
-  private static final Duration SERVICE_RUNS = Duration.ofDays(1);
+  private static final Duration SERVICE_RUN_TIME = Duration.ofDays(1);
 
-  /** A part of the machines has accelerators: 30,000 on 16,000 workers, eight to a machine. */
-  private static final double ACCELERATED = 30_000.0 / 8 / 16_000;
+  /** Share of machines with accelerators: 30,000 accelerators on 16,000 workers, 8 per machine. */
+  private static final double ACCELERATED_SHARE = 30_000.0 / 8 / 16_000;
 
   private static final double FETCH_GB_PER_S = 0.5;
   private static final double CACHE_GB = 60;
 
-  private record Kind(String type, String zone) {}
+  private record Offering(String type, String zone) {}
 
   private final RoleEventLoop role;
   private final ScaleSettings settings;
   private final CellAddresses addresses;
-  private final RuleChecker judge;
-  private final TaskTimes times;
+  private final RuleChecker ruleChecker;
+  private final TaskTimes taskTimes;
   private final Random random;
   private final EmulatedGangs gangs = new EmulatedGangs(this);
   private final List<MachineType> types;
-  private final Map<String, ReportSender> workers = new LinkedHashMap<>();
+  private final Map<String, ReportSender> senders = new LinkedHashMap<>();
   private final Map<String, EmulatedWorker> rented = new LinkedHashMap<>();
-  private final Map<Kind, Integer> left = new HashMap<>();
-  private final Map<EmulatedWorker, Map<String, Duration>> imagesReady = new HashMap<>();
+
+  /** Number of machines that can be rented: those that were deleted and not rented again. */
+  private final Map<Offering, Integer> available = new HashMap<>();
+
+  /** Time at which each image is, or was, completely fetched, by worker and image. */
+  private final Map<EmulatedWorker, Map<String, Duration>> imageReadyAt = new HashMap<>();
   private final Set<TaskId> completed = new HashSet<>();
   private final TrafficCounters traffic = new TrafficCounters();
-  private int made;
+  private int machineCount;
 
   EmulatedFleet(
       RoleEventLoop role,
       ScaleSettings settings,
       CellAddresses addresses,
-      RuleChecker judge,
-      TaskTimes times) {
+      RuleChecker ruleChecker,
+      TaskTimes taskTimes) {
     this.role = role;
     this.settings = settings;
     this.addresses = addresses;
-    this.judge = judge;
-    this.times = times;
+    this.ruleChecker = ruleChecker;
+    this.taskTimes = taskTimes;
     this.random = new Random(settings.seed());
     List<String> zones = zones(settings);
-    double bootS = settings.cloud().boot().toMillis() / 1000.0;
+    double bootS = settings.cloud().bootTime().toMillis() / 1000.0;
     this.types =
         List.of(
-            new MachineType("standard", 12, 0, 64, CACHE_GB, FETCH_GB_PER_S, 0.6, 0.6, bootS, zones),
+            new MachineType(
+                "standard", 12, 0, 64, CACHE_GB, FETCH_GB_PER_S, 0.6, 0.6, bootS, zones),
             new MachineType(
                 "accelerated", 64, 8, 512, CACHE_GB, FETCH_GB_PER_S, 12, 12, bootS, zones));
   }
@@ -83,37 +91,38 @@
     return zones;
   }
 
-  /** All machines are up at the start, spread over the zones. */
+  /** Starts all machines, spread evenly over the zones; first reports are spread in time. */
   void startAll() {
     List<String> zones = zones(settings);
-    int accelerated = (int) Math.round(settings.workers() * ACCELERATED);
+    int accelerated = (int) Math.round(settings.workers() * ACCELERATED_SHARE);
     for (int i = 0; i < settings.workers(); i++) {
       MachineType type = types.get(i < accelerated ? 1 : 0);
-      EmulatedWorker worker = add(type, zones.get(i % zones.size()));
-      workers.get(worker.name()).startIn(within(settings.workerTimes().report()));
+      EmulatedWorker worker = addWorker(type, zones.get(i % zones.size()));
+      senders.get(worker.name()).startIn(randomDelay(settings.workerTimes().reportInterval()));
     }
   }
 
-  private Duration within(Duration span) {
+  private Duration randomDelay(Duration span) {
     return Duration.ofNanos((long) (random.nextDouble() * span.toNanos()));
   }
 
-  private EmulatedWorker add(MachineType type, String zone) {
-    int number = made++;
+  private EmulatedWorker addWorker(MachineType type, String zone) {
+    int number = machineCount++;
     String name = String.format("n-%06d", number);
     var address = addresses.worker(number);
     EmulatedWorker worker =
         new EmulatedWorker(
-            this, gangs, name, CellAddresses.text(address), type, zone, false,
+            this, gangs, name, CellAddresses.hostAndPort(address), type, zone, false,
             settings.workerTimes().lease());
     int first = random.nextInt(settings.controllers());
-    workers.put(
+    senders.put(
         name, new ReportSender(worker, role, settings, addresses, traffic, random, first));
     rented.put(name, worker);
     try {
-      role.server().listen(address, (method, path, body, reply) -> serve(worker, path, body, reply));
+      role.server()
+          .listen(address, (method, path, body, reply) -> serve(worker, path, body, reply));
     } catch (IOException e) {
-      throw new UncheckedIOException("no address for worker " + name, e);
+      throw new UncheckedIOException("cannot listen on the address of worker " + name, e);
     }
     return worker;
   }
@@ -123,15 +132,16 @@
     if (path.equals("/orders")) {
       traffic.commands++;
       traffic.commandBytes += body.length + TrafficCounters.REQUEST_HEADER_BYTES;
-      ObjectNode commands = decode(body);
-      status = commands == null ? 400 : worker.commands(commands);
+      ObjectNode commands = decodeOrNull(body);
+      status = commands == null ? 400 : worker.handleCommands(commands);
     }
-    byte[] answer = Cbor.encode(worker.report().write());
-    traffic.commandBytes += answer.length + TrafficCounters.ANSWER_HEADER_BYTES;
-    reply.send(status, answer);
+    byte[] response = Cbor.encode(worker.report().write());
+    traffic.commandBytes += response.length + TrafficCounters.RESPONSE_HEADER_BYTES;
+    reply.send(status, response);
   }
 
-  static ObjectNode decode(byte[] body) {
+  /** The decoded map; null if the body is malformed. */
+  static ObjectNode decodeOrNull(byte[] body) {
     try {
       return Cbor.decodeMap(body);
     } catch (InvalidMessageException e) {
@@ -139,21 +149,24 @@
     }
   }
 
-  /** So many machines of one zone die at once. */
+  /** Kills {@code count} machines of the first zone at once. */
   void killRack(int count) {
     String zone = zones(settings).get(0);
     List<EmulatedWorker> rack =
-        rented.values().stream().filter(w -> !w.isDead() && w.zone().equals(zone)).limit(count).toList();
-    rack.forEach(this::stop);
-  }
-
-  private void stop(EmulatedWorker worker) {
-    worker.die();
-    ReportSender hollow = workers.remove(worker.name());
-    if (hollow != null) {
-      hollow.stop();
+        rented.values().stream()
+            .filter(w -> !w.isDead() && w.zone().equals(zone))
+            .limit(count)
+            .toList();
+    rack.forEach(this::stopWorker);
+  }
+
+  private void stopWorker(EmulatedWorker worker) {
+    worker.markDead();
+    ReportSender sender = senders.remove(worker.name());
+    if (sender != null) {
+      sender.stop();
     }
-    imagesReady.remove(worker);
+    imageReadyAt.remove(worker);
     closeAddress(worker);
   }
 
@@ -161,21 +174,23 @@
     try {
       role.server().close(Addresses.parse(worker.address()));
     } catch (InvalidMessageException e) {
-      throw new IllegalStateException("an address of our own making is well formed", e);
+      throw new IllegalStateException("malformed address of an emulated worker", e);
     }
   }
 
+  /** A copy of the traffic counters of all workers together. */
   TrafficCounters traffic() {
     return traffic.copy();
   }
 
-  int alive() {
-    return workers.size();
+  /** Number of workers that have not been killed or deleted. */
+  int aliveCount() {
+    return senders.size();
   }
 
-  /** Tasks that were killed since their worker's lease had run out. */
-  int lostTasks() {
-    return rented.values().stream().mapToInt(EmulatedWorker::lostTasks).sum();
+  /** Number of tasks that were killed because their worker's lease had expired. */
+  int lostTaskCount() {
+    return rented.values().stream().mapToInt(EmulatedWorker::lostTaskCount).sum();
   }
 
   @Override
@@ -185,13 +200,13 @@
 
   @Override
   public String rent(MachineType type, String zone, boolean spot) {
-    Kind kind = new Kind(type.name(), zone);
-    if (spot || left.getOrDefault(kind, 0) <= 0) {
+    Offering offering = new Offering(type.name(), zone);
+    if (spot || available.getOrDefault(offering, 0) <= 0) {
       return null;
     }
-    left.merge(kind, -1, Integer::sum);
-    EmulatedWorker worker = add(type, zone);
-    workers.get(worker.name()).startIn(settings.cloud().boot());
+    available.merge(offering, -1, Integer::sum);
+    EmulatedWorker worker = addWorker(type, zone);
+    senders.get(worker.name()).startIn(settings.cloud().bootTime());
     return worker.name();
   }
 
@@ -201,8 +216,8 @@
     if (worker == null) {
       return;
     }
-    left.merge(new Kind(worker.type().name(), worker.zone()), 1, Integer::sum);
-    stop(worker);
+    available.merge(new Offering(worker.type().name(), worker.zone()), 1, Integer::sum);
+    stopWorker(worker);
   }
 
   @Override
@@ -217,7 +232,7 @@
 
   @Override
   public Duration bootTime(EmulatedWorker machine) {
-    return settings.cloud().boot();
+    return settings.cloud().bootTime();
   }
 
   @Override
@@ -226,32 +241,32 @@
   }
 
   @Override
-  public JobSpec description(String job) {
-    return judge.job(job);
+  public JobSpec jobSpec(String job) {
+    return ruleChecker.jobSpec(job);
   }
 
-  /** One fetch after the other; what is there or on its way is not fetched again. */
+  /** Fetches are serialized per worker; an image that is there or in flight isn't fetched again. */
   @Override
   public Duration fetchTime(EmulatedWorker worker, String job) {
-    JobSpec spec = judge.job(job);
-    Map<String, Duration> ready = imagesReady.computeIfAbsent(worker, k -> new HashMap<>());
+    JobSpec spec = ruleChecker.jobSpec(job);
+    Map<String, Duration> ready = imageReadyAt.computeIfAbsent(worker, k -> new HashMap<>());
     Duration now = loop().now();
-    Duration at = ready.get(spec.image());
-    if (at == null) {
-      Duration free = ready.values().stream().max(Duration::compareTo).orElse(now);
-      Duration from = free.compareTo(now) > 0 ? free : now;
-      at = from.plusMillis((long) (spec.imageGb() / FETCH_GB_PER_S * 1000));
-      ready.put(spec.image(), at);
+    Duration readyAt = ready.get(spec.image());
+    if (readyAt == null) {
+      Duration previousDone = ready.values().stream().max(Duration::compareTo).orElse(now);
+      Duration start = previousDone.compareTo(now) > 0 ? previousDone : now;
+      readyAt = start.plusMillis((long) (spec.imageGb() / FETCH_GB_PER_S * 1000));
+      ready.put(spec.image(), readyAt);
     }
-    Duration wait = at.minus(now);
+    Duration wait = readyAt.minus(now);
     return wait.isNegative() ? Duration.ZERO : wait;
   }
 
   @Override
   public Duration runTime(TaskId task) {
-    JobSpec spec = judge.job(task.job());
+    JobSpec spec = ruleChecker.jobSpec(task.job());
     if (spec.estimateS() <= 0) {
-      return SERVICE_RUNS;
+      return SERVICE_RUN_TIME;
     }
     double factor = 1 - ESTIMATE_ERROR + 2 * ESTIMATE_ERROR * random.nextDouble();
     return Duration.ofMillis((long) (spec.estimateS() * factor * 1000));
@@ -269,12 +284,12 @@
 
   @Override
   public Duration gangPeerTimeout() {
-    return settings.workerTimes().gangPeer();
+    return settings.workerTimes().gangPeerTimeout();
   }
 
   @Override
   public int gangSize(String job) {
-    JobSpec spec = judge.job(job);
+    JobSpec spec = ruleChecker.jobSpec(job);
     return spec.kind() == JobKind.GANG ? spec.tasks() : 0;
   }
 
@@ -284,26 +299,26 @@
   }
 
   @Override
-  public void began(EmulatedWorker worker, TaskId task) {
-    judge.began(worker.name(), task);
-    times.began(judge.job(task.job()), task);
+  public void onStarted(EmulatedWorker worker, TaskId task) {
+    ruleChecker.taskStarted(worker.name(), task);
+    taskTimes.taskStarted(ruleChecker.jobSpec(task.job()), task);
   }
 
   @Override
-  public void ended(EmulatedWorker worker, TaskId task) {
-    judge.ended(worker.name(), task);
+  public void onEnded(EmulatedWorker worker, TaskId task) {
+    ruleChecker.taskEnded(worker.name(), task);
   }
 
   @Override
-  public void completed(TaskId task) {
+  public void onCompleted(TaskId task) {
     completed.add(task);
   }
 
   @Override
-  public void changed(EmulatedWorker worker) {
-    ReportSender hollow = workers.get(worker.name());
-    if (hollow != null) {
-      hollow.changed();
+  public void onChanged(EmulatedWorker worker) {
+    ReportSender sender = senders.get(worker.name());
+    if (sender != null) {
+      sender.onChanged();
     }
   }
 }
--- a/src/main/java/io/tansystack/emulator/EmulatedGangs.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedGangs.java
@@ -10,24 +10,25 @@
 import java.util.Map;
 
 /**
- * How the tasks of gangs find one another, after the published protocol: those of one attempt start
- * together once all are there, complete together, and exit when one of them is gone.
+ * Emulates how the tasks of gangs coordinate, according to the published protocol: the tasks of one
+ * attempt start together once all of them are waiting, complete together, and exit when one of them
+ * is lost.
  */
 public final class EmulatedGangs {
-  private static final Duration WATCH_EVERY = Duration.ofMillis(500);
+  private static final Duration WATCH_INTERVAL = Duration.ofMillis(500);
 
-  /** One task of an attempt: where, and under which key its worker holds it. */
+  /** One task of an attempt: its worker, and the key under which the worker stores it. */
   private record Member(EmulatedWorker worker, String key) {
     State state() {
       return worker.stateOf(key);
     }
   }
 
-  /** The tasks of one attempt, by number. */
+  /** The tasks of one attempt, by task index. */
   private static final class Gang {
     final Map<Integer, Member> members = new LinkedHashMap<>();
     boolean started;
-    boolean over;
+    boolean ended;
   }
 
   private final WorkerEnvironment environment;
@@ -37,8 +38,8 @@
     this.environment = environment;
   }
 
-  /** A task has its image and waits for the others of its attempt. */
-  void arrived(EmulatedWorker worker, String key, String job, int task, long attempt) {
+  /** Adds a task that has its image and now waits for the other tasks of its attempt. */
+  void onTaskReady(EmulatedWorker worker, String key, String job, int task, long attempt) {
     String name = job + "#" + attempt;
     Gang gang = gangs.computeIfAbsent(name, k -> new Gang());
     gang.members.put(task, new Member(worker, key));
@@ -49,13 +50,13 @@
             () -> {
               if (worker.stateOf(key) == State.WAITING) {
                 worker.end(key, Cause.ALONE);
-                forgetIfOver(name, gang);
+                removeIfAbandoned(name, gang);
               }
             });
-    boolean all =
+    boolean allWaiting =
         gang.members.size() == environment.gangSize(job)
             && gang.members.values().stream().allMatch(m -> m.state() == State.WAITING);
-    if (all && !gang.started) {
+    if (allWaiting && !gang.started) {
       gang.started = true;
       start(name, gang, job);
     }
@@ -63,16 +64,16 @@
 
   private void start(String name, Gang gang, String job) {
     gang.members.values().forEach(m -> m.worker.startRunning(m.key));
-    watch(name, gang);
+    checkMembers(name, gang);
     environment
         .loop()
         .after(
             environment.runTime(new TaskId(job, 0)),
             () -> {
-              boolean allRun =
+              boolean allRunning =
                   gang.members.values().stream().allMatch(m -> m.state() == State.RUNNING);
-              if (!gang.over && allRun) {
-                gang.over = true;
+              if (!gang.ended && allRunning) {
+                gang.ended = true;
                 complete(gang, job);
               }
             });
@@ -81,35 +82,38 @@
   private void complete(Gang gang, String job) {
     gang.members.forEach(
         (task, member) -> {
-          environment.completed(new TaskId(job, task));
+          environment.onCompleted(new TaskId(job, task));
           member.worker.end(member.key, Cause.DONE);
         });
   }
 
-  /** If one is gone, or its machine hangs, the others notice after a while. */
-  private void watch(String name, Gang gang) {
-    if (gang.over) {
+  /**
+   * Checks periodically whether a task is lost or its machine hangs; if so, the other tasks exit
+   * after the time they need to notice it.
+   */
+  private void checkMembers(String name, Gang gang) {
+    if (gang.ended) {
       gangs.remove(name, gang);
       return;
     }
-    List<Member> all = List.copyOf(gang.members.values());
-    if (all.stream().anyMatch(m -> m.state() != State.RUNNING || m.worker.hangs())) {
-      gang.over = true;
+    List<Member> members = List.copyOf(gang.members.values());
+    if (members.stream().anyMatch(m -> m.state() != State.RUNNING || m.worker.isHung())) {
+      gang.ended = true;
       gangs.remove(name, gang);
       environment
           .loop()
           .after(
               environment.gangPeerTimeout(),
               () ->
-                  all.stream()
+                  members.stream()
                       .filter(m -> m.state() == State.RUNNING)
                       .forEach(m -> m.worker.end(m.key, Cause.PEERS)));
     } else {
-      environment.loop().after(WATCH_EVERY, () -> watch(name, gang));
+      environment.loop().after(WATCH_INTERVAL, () -> checkMembers(name, gang));
     }
   }
 
-  private void forgetIfOver(String name, Gang gang) {
+  private void removeIfAbandoned(String name, Gang gang) {
     if (!gang.started && gang.members.values().stream().allMatch(m -> m.state() != State.WAITING)) {
       gangs.remove(name, gang);
     }
--- a/src/main/java/io/tansystack/emulator/EmulatedStore.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedStore.java
@@ -16,12 +16,12 @@
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 
-/** The state service after its published protocol, in memory, on one loop. */
+/** Emulates the state service's published protocol in memory. Confined to one event loop. */
 public final class EmulatedStore {
-  /** The service keeps so many changes for watches. */
-  private static final int KEPT_CHANGES = 10_000;
+  /** Minimum number of recent changes that are retained for watches. */
+  private static final int RETAINED_EVENTS = 10_000;
 
-  private static final Duration EXPIRE_EVERY = Duration.ofMillis(50);
+  private static final Duration EXPIRY_CHECK_INTERVAL = Duration.ofMillis(50);
 
   private record Entry(ObjectNode value, long version, long lease) {}
 
@@ -30,32 +30,35 @@
   private record Watch(String prefix, long since, BiConsumer<Integer, ObjectNode> reply) {}
 
   private final EventLoop loop;
-  private final BooleanSupplier away;
+  private final BooleanSupplier unavailable;
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final List<Event> events = new ArrayList<>();
   private final Map<String, Long> writesByFolder = new HashMap<>();
   private final List<Watch> watches = new ArrayList<>();
-  private final Map<Long, Duration> leases = new HashMap<>();
-  private final Map<Long, Long> leaseLives = new HashMap<>();
+  private final Map<Long, Duration> leaseDeadlines = new HashMap<>();
+  private final Map<Long, Long> leaseDurationsMs = new HashMap<>();
   private final TokenBucket requestBucket;
   private final TokenBucket writeBucket;
   private StoreLimits limits;
   private long revision;
 
-  /** The newest change that watches can no longer be told. */
-  private long forgottenUntil;
+  /** Revision of the newest change that is no longer retained for watches. */
+  private long discardedRevision;
 
   private long nextLease = 1;
-  private boolean wasAway;
+  private boolean wasUnavailable;
   private long requests;
-  private long refused;
+  private long rejected;
   private long writes;
 
-  /** @param away whether it serves nobody: then no lease ends, and afterwards each has its full time again */
-  public EmulatedStore(EventLoop loop, StoreLimits limits, BooleanSupplier away) {
+  /**
+   * @param unavailable whether the service is down: no lease expires then, and each lease has its
+   *     full duration again afterwards
+   */
+  public EmulatedStore(EventLoop loop, StoreLimits limits, BooleanSupplier unavailable) {
     this.loop = loop;
     this.limits = limits;
-    this.away = away;
+    this.unavailable = unavailable;
     this.requestBucket = new TokenBucket(limits.requestsPerSecond(), loop.now());
     this.writeBucket = new TokenBucket(limits.writesPerSecond(), loop.now());
     expireLeases();
@@ -65,34 +68,35 @@
     return limits;
   }
 
+  /** Changes the limits from now on. */
   public void limits(StoreLimits newLimits) {
     limits = newLimits;
-    requestBucket.rate(newLimits.requestsPerSecond(), loop.now());
-    writeBucket.rate(newLimits.writesPerSecond(), loop.now());
+    requestBucket.setRate(newLimits.requestsPerSecond(), loop.now());
+    writeBucket.setRate(newLimits.writesPerSecond(), loop.now());
   }
 
-  /** Requests that came since the start, or since the counts were last reset. */
+  /** Number of requests since the start or the last reset of the counters. */
   public long requests() {
     return requests;
   }
 
-  /** Requests and transactions that were over a limit. */
-  public long refused() {
-    return refused;
+  /** Number of requests and transactions rejected because they exceeded a limit. */
+  public long rejected() {
+    return rejected;
   }
 
-  /** Puts and deletes that were carried out. */
+  /** Number of puts and deletes that were carried out. */
   public long writes() {
     return writes;
   }
 
-  public void resetCounts() {
+  public void resetCounters() {
     requests = 0;
-    refused = 0;
+    rejected = 0;
     writes = 0;
   }
 
-  /** Loses everything, as if nothing had ever been written. */
+  /** Discards all keys, retained changes and pending watches; leases and the revision stay. */
   public void clear() {
     entries.clear();
     events.clear();
@@ -105,24 +109,28 @@
     return entry == null ? null : entry.value;
   }
 
-  /** All keys with a prefix and their values, in order. */
+  /** All keys with a prefix and their values, ordered by key. */
   public Map<String, JsonNode> values(String prefix) {
     Map<String, JsonNode> values = new TreeMap<>();
-    below(prefix).forEach((key, entry) -> values.put(key, entry.value));
+    entriesWithPrefix(prefix).forEach((key, entry) -> values.put(key, entry.value));
     return values;
   }
 
-  public long keys(String prefix) {
-    return below(prefix).size();
+  /** Number of keys with a prefix. */
+  public long keyCount(String prefix) {
+    return entriesWithPrefix(prefix).size();
   }
 
-  private SortedMap<String, Entry> below(String prefix) {
+  private SortedMap<String, Entry> entriesWithPrefix(String prefix) {
     return prefix.isEmpty()
         ? Collections.unmodifiableSortedMap(entries)
         : entries.subMap(prefix, prefix + Character.MAX_VALUE);
   }
 
-  /** How often something was written or deleted in a folder, which ends with a slash. */
+  /**
+   * Number of writes and deletions since the start in all folders that start with a prefix. A
+   * folder is a key up to and including its last slash.
+   */
   public long writes(String folder) {
     return writesByFolder.entrySet().stream()
         .filter(entry -> entry.getKey().startsWith(folder))
@@ -130,37 +138,38 @@
         .sum();
   }
 
-  /** Writes and deletions by the first two parts of their keys. */
+  /** Number of writes and deletions by the first two segments of their keys. */
   public Map<String, Long> writesByKind() {
     Map<String, Long> kinds = new TreeMap<>();
-    writesByFolder.forEach((folder, count) -> kinds.merge(kind(folder), count, Long::sum));
+    writesByFolder.forEach((folder, count) -> kinds.merge(keyKind(folder), count, Long::sum));
     return kinds;
   }
 
-  private static String kind(String folder) {
+  private static String keyKind(String folder) {
     String[] parts = folder.split("/");
     return parts.length < 2 ? folder : parts[0] + "/" + parts[1];
   }
 
-  /** Puts a value without a transaction: what was there before the run. */
+  /** Stores a value that exists before the run, without a transaction, a lease or an event. */
   public void preset(String key, ObjectNode value) {
     revision++;
     entries.put(key, new Entry(value, revision, 0));
   }
 
   private void expireLeases() {
-    boolean isAway = away.getAsBoolean();
-    if (isAway || wasAway) {
-      leases.replaceAll((lease, until) -> loop.now().plusMillis(leaseLives.get(lease)));
+    boolean isUnavailable = unavailable.getAsBoolean();
+    if (isUnavailable || wasUnavailable) {
+      leaseDeadlines.replaceAll(
+          (lease, deadline) -> loop.now().plusMillis(leaseDurationsMs.get(lease)));
     }
-    wasAway = isAway;
-    for (Long lease : List.copyOf(leases.keySet())) {
-      if (loop.now().compareTo(leases.get(lease)) > 0) {
-        leases.remove(lease);
+    wasUnavailable = isUnavailable;
+    for (Long lease : List.copyOf(leaseDeadlines.keySet())) {
+      if (loop.now().compareTo(leaseDeadlines.get(lease)) > 0) {
+        leaseDeadlines.remove(lease);
         removeAttached(lease);
       }
     }
-    loop.after(EXPIRE_EVERY, this::expireLeases);
+    loop.after(EXPIRY_CHECK_INTERVAL, this::expireLeases);
   }
 
   private void removeAttached(long lease) {
@@ -174,7 +183,7 @@
     if (!attached.isEmpty()) {
       revision++;
       attached.forEach(key -> put(key, null, 0));
-      wakeWatches();
+      notifyWatches();
     }
   }
 
@@ -189,24 +198,24 @@
     writes++;
     writesByFolder.merge(key.substring(0, key.lastIndexOf('/') + 1), 1L, Long::sum);
     events.add(new Event(key, value, revision));
-    if (events.size() > 2 * KEPT_CHANGES) {
-      forgottenUntil = events.get(events.size() - KEPT_CHANGES - 1).version;
-      events.subList(0, events.size() - KEPT_CHANGES).clear();
+    if (events.size() > 2 * RETAINED_EVENTS) {
+      discardedRevision = events.get(events.size() - RETAINED_EVENTS - 1).version;
+      events.subList(0, events.size() - RETAINED_EVENTS).clear();
     }
   }
 
-  private void wakeWatches() {
+  private void notifyWatches() {
     for (Watch watch : List.copyOf(watches)) {
-      if (answerIfChanged(watch)) {
+      if (replyIfChanged(watch)) {
         watches.remove(watch);
       }
     }
   }
 
-  private boolean answerIfChanged(Watch watch) {
+  private boolean replyIfChanged(Watch watch) {
     ObjectNode map = Cbor.map();
     ArrayNode log = map.putArray("Log");
-    for (Event event : events.subList(firstAfter(watch.since), events.size())) {
+    for (Event event : events.subList(firstIndexAfter(watch.since), events.size())) {
       if (event.key.startsWith(watch.prefix)) {
         ObjectNode node = log.addObject().put("Stamp", event.version);
         if (event.value == null) {
@@ -223,8 +232,8 @@
     return true;
   }
 
-  /** Index of the first change after a revision; changes are kept in the order of theirs. */
-  private int firstAfter(long since) {
+  /** Index of the first change after a revision; changes are stored in order of revision. */
+  private int firstIndexAfter(long since) {
     int low = 0;
     int high = events.size();
     while (low < high) {
@@ -238,8 +247,8 @@
     return low;
   }
 
-  /** A parameter of a request; empty if it is missing. */
-  static String query(String path, String name) {
+  /** Value of a query parameter; empty if it is missing. */
+  static String queryParameter(String path, String name) {
     for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
       if (part.startsWith(name + "=")) {
         return part.substring(name.length() + 1);
@@ -248,17 +257,23 @@
     return "";
   }
 
-  /** Carries out a request and answers it, at once or, a watch, when something has changed. */
+  /**
+   * Carries out a request and replies at once; a watch is replied to when a key with its prefix has
+   * changed, or with no changes when its hold time is over.
+   *
+   * @param body null for requests without a body
+   * @param reply receives the HTTP status and the response body
+   */
   public void handle(
       String method, String path, ObjectNode body, BiConsumer<Integer, ObjectNode> reply) {
     requests++;
-    if (!requestBucket.take(1, loop.now())) {
-      refused++;
+    if (!requestBucket.tryTake(1, loop.now())) {
+      rejected++;
       reply.accept(429, Cbor.map());
     } else if (path.startsWith("/store?")) {
-      list(path, reply);
+      listKeys(path, reply);
     } else if (path.startsWith("/store/")) {
-      get(path.substring("/store/".length()), reply);
+      getKey(path.substring("/store/".length()), reply);
     } else if (path.startsWith("/watch?")) {
       watch(path, reply);
     } else if (path.equals("/commit")) {
@@ -268,18 +283,18 @@
     } else if (path.endsWith("/renew")) {
       renew(Long.parseLong(path.split("/")[2]), reply);
     } else {
-      throw new IllegalStateException(method + " " + path);
+      throw new IllegalStateException(method + " request to an unknown path: " + path);
     }
   }
 
-  private void list(String path, BiConsumer<Integer, ObjectNode> reply) {
+  private void listKeys(String path, BiConsumer<Integer, ObjectNode> reply) {
     ObjectNode map = Cbor.map();
     ArrayNode pairs = map.putArray("Pairs");
-    String prefix = query(path, "Starts");
-    String since = query(path, "Since");
+    String prefix = queryParameter(path, "Starts");
+    String afterKey = queryParameter(path, "Since");
     boolean more = false;
-    for (Map.Entry<String, Entry> entry : below(prefix).entrySet()) {
-      if (entry.getKey().compareTo(since) > 0) {
+    for (Map.Entry<String, Entry> entry : entriesWithPrefix(prefix).entrySet()) {
+      if (entry.getKey().compareTo(afterKey) > 0) {
         more = pairs.size() == limits.pageSize();
         if (more) {
           break;
@@ -292,7 +307,7 @@
     reply.accept(200, map.put("HasNext", more).put("Ledger", revision));
   }
 
-  private void get(String key, BiConsumer<Integer, ObjectNode> reply) {
+  private void getKey(String key, BiConsumer<Integer, ObjectNode> reply) {
     Entry entry = entries.get(key);
     if (entry == null) {
       reply.accept(404, Cbor.map().put("Ledger", revision));
@@ -304,18 +319,18 @@
   }
 
   private void watch(String path, BiConsumer<Integer, ObjectNode> reply) {
-    long since = Long.parseLong(query(path, "Since"));
-    if (since < forgottenUntil) {
+    long since = Long.parseLong(queryParameter(path, "Since"));
+    if (since < discardedRevision) {
       reply.accept(410, Cbor.map());
       return;
     }
-    Watch watch = new Watch(query(path, "Starts"), since, reply);
-    if (answerIfChanged(watch)) {
+    Watch watch = new Watch(queryParameter(path, "Starts"), since, reply);
+    if (replyIfChanged(watch)) {
       return;
     }
     watches.add(watch);
     loop.after(
-        Duration.ofMillis(Long.parseLong(query(path, "HoldMs"))),
+        Duration.ofMillis(Long.parseLong(queryParameter(path, "HoldMs"))),
         () -> {
           if (watches.remove(watch)) {
             ObjectNode map = Cbor.map().put("Ledger", revision);
@@ -325,16 +340,16 @@
         });
   }
 
-  private void grant(long lifeMs, BiConsumer<Integer, ObjectNode> reply) {
+  private void grant(long durationMs, BiConsumer<Integer, ObjectNode> reply) {
     long lease = nextLease++;
-    leaseLives.put(lease, lifeMs);
-    leases.put(lease, loop.now().plusMillis(lifeMs));
+    leaseDurationsMs.put(lease, durationMs);
+    leaseDeadlines.put(lease, loop.now().plusMillis(durationMs));
     reply.accept(200, Cbor.map().put("Permit", lease));
   }
 
   private void renew(long lease, BiConsumer<Integer, ObjectNode> reply) {
-    if (leases.containsKey(lease)) {
-      leases.put(lease, loop.now().plusMillis(leaseLives.get(lease)));
+    if (leaseDeadlines.containsKey(lease)) {
+      leaseDeadlines.put(lease, loop.now().plusMillis(leaseDurationsMs.get(lease)));
       reply.accept(200, Cbor.map());
     } else {
       reply.accept(404, Cbor.map());
@@ -343,8 +358,8 @@
 
   private void commit(ObjectNode body, BiConsumer<Integer, ObjectNode> reply) {
     JsonNode changes = body.path("Then");
-    if (!writeBucket.take(changes.size(), loop.now())) {
-      refused++;
+    if (!writeBucket.tryTake(changes.size(), loop.now())) {
+      rejected++;
       reply.accept(429, Cbor.map());
       return;
     }
@@ -356,7 +371,7 @@
       }
     }
     for (JsonNode change : changes) {
-      if (change.has("Permit") && !leases.containsKey(change.get("Permit").asLong())) {
+      if (change.has("Permit") && !leaseDeadlines.containsKey(change.get("Permit").asLong())) {
         reply.accept(400, Cbor.map().put("error", "no such lease"));
         return;
       }
@@ -366,7 +381,7 @@
     }
     changes.forEach(this::apply);
     reply.accept(200, Cbor.map().put("Ledger", revision));
-    wakeWatches();
+    notifyWatches();
   }
 
   private void apply(JsonNode change) {
--- a/src/main/java/io/tansystack/emulator/EmulatedUsers.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedUsers.java
@@ -16,24 +16,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The users of a cell, as published: they submit until accepted, poll every five seconds, cancel
- * some jobs, and reach the controllers through a load balancer that passes over who refuses.
+ * Emulates the users of a cell according to the published protocol: they submit each job until it
+ * is accepted, poll its status every five seconds and cancel some jobs. Their requests pass through
+ * an emulated load balancer that skips controllers which recently gave no response.
  */
 final class EmulatedUsers {
   private static final Duration SUBMIT_TIMEOUT = Duration.ofSeconds(5);
   private static final Duration POLL_TIMEOUT = Duration.ofSeconds(2);
-  private static final Duration POLL_EVERY = Duration.ofSeconds(5);
-  private static final Duration AGAIN = Duration.ofSeconds(1);
-  private static final Duration SKIPPED = Duration.ofSeconds(3);
-  private static final int CONNECTIONS = 64;
-  private static final int DIGITS = 3;
+  private static final Duration POLL_INTERVAL = Duration.ofSeconds(5);
+  private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
+  private static final Duration SKIP_DURATION = Duration.ofSeconds(3);
+  private static final int CONNECTIONS_PER_CONTROLLER = 64;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   private static final class Job {
     final JobSpec spec;
     final Duration submittedAt;
     boolean accepted;
-    boolean over;
-    Duration answeredAt = Duration.ZERO;
+    boolean finished;
+    Duration lastResponseAt = Duration.ZERO;
 
     Job(JobSpec spec, Duration submittedAt) {
       this.spec = spec;
@@ -42,58 +43,61 @@
   }
 
   private final EventLoop loop;
-  private final UndertowHttpClient caller;
+  private final UndertowHttpClient httpClient;
   private final ScaleSettings settings;
   private final CellAddresses addresses;
-  private final RuleChecker judge;
-  private final TaskTimes times;
+  private final RuleChecker ruleChecker;
+  private final TaskTimes taskTimes;
   private final WorkloadGenerator workload;
   private final Random random;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Map<Integer, Duration> skippedUntil = new HashMap<>();
-  private final Histogram acceptedMs = new Histogram(DIGITS);
+  private final Histogram acceptedMs = new Histogram(SIGNIFICANT_DIGITS);
   private boolean submitting;
   private boolean recording;
-  private long refused;
+  private long rejectedCount;
 
   EmulatedUsers(
       RoleEventLoop role,
       ScaleSettings settings,
       CellAddresses addresses,
-      RuleChecker judge,
-      TaskTimes times) {
+      RuleChecker ruleChecker,
+      TaskTimes taskTimes) {
     this.loop = role.loop();
-    this.caller = role.caller(CONNECTIONS);
+    this.httpClient = role.httpClient(CONNECTIONS_PER_CONTROLLER);
     this.settings = settings;
     this.addresses = addresses;
-    this.judge = judge;
-    this.times = times;
+    this.ruleChecker = ruleChecker;
+    this.taskTimes = taskTimes;
     this.workload =
         new WorkloadGenerator(
             settings.seed(), settings.teams(), settings.startsPerSecond(), settings.workers());
     this.random = new Random(settings.seed() + 1);
   }
 
-  /** Starts to submit; what comes in {@code head} at the usual rate comes at once, to fill the cell. */
-  void start(Duration head) {
+  /**
+   * Starts to submit jobs. To fill the cell, the jobs that arrive within {@code backlog} at the
+   * usual rate are submitted at once.
+   */
+  void start(Duration backlog) {
     submitting = true;
     for (String jobClass : WorkloadGenerator.CLASSES) {
-      Duration at = workload.untilNext(jobClass);
-      while (at.compareTo(head) < 0) {
+      Duration arrival = workload.timeToNext(jobClass);
+      while (arrival.compareTo(backlog) < 0) {
         submitNext(jobClass);
-        at = at.plus(workload.untilNext(jobClass));
+        arrival = arrival.plus(workload.timeToNext(jobClass));
       }
-      later(jobClass);
+      scheduleNext(jobClass);
     }
   }
 
-  private void later(String jobClass) {
+  private void scheduleNext(String jobClass) {
     loop.after(
-        workload.untilNext(jobClass),
+        workload.timeToNext(jobClass),
         () -> {
           if (submitting) {
             submitNext(jobClass);
-            later(jobClass);
+            scheduleNext(jobClass);
           }
         });
   }
@@ -102,21 +106,21 @@
     submitting = false;
   }
 
-  /** From now on the times of submissions are kept. */
-  void record(boolean on) {
+  /** Switches the recording of acceptance times on or off. */
+  void setRecording(boolean on) {
     recording = on;
   }
 
   private void submitNext(String jobClass) {
-    GeneratedJob drawn = workload.draw(jobClass);
-    Job job = new Job(drawn.spec(), loop.now());
-    jobs.put(drawn.spec().id(), job);
-    judge.submitted(drawn.spec());
-    times.submitted(drawn.spec());
-    submit(job, drawn);
+    GeneratedJob generated = workload.generate(jobClass);
+    Job job = new Job(generated.spec(), loop.now());
+    jobs.put(generated.spec().id(), job);
+    ruleChecker.jobSubmitted(generated.spec());
+    taskTimes.jobSubmitted(generated.spec());
+    submit(job, generated);
   }
 
-  private void submit(Job job, GeneratedJob drawn) {
+  private void submit(Job job, GeneratedJob generated) {
     byte[] body = Cbor.encode(job.spec.write());
     call(
         "POST",
@@ -125,36 +129,36 @@
         SUBMIT_TIMEOUT,
         status -> {
           if (status == 200 || status == 201) {
-            accepted(job, drawn);
+            onAccepted(job, generated);
           } else {
-            refused += status == 0 ? 0 : 1;
-            loop.after(AGAIN, () -> submit(job, drawn));
+            rejectedCount += status == 0 ? 0 : 1;
+            loop.after(RETRY_DELAY, () -> submit(job, generated));
           }
         });
   }
 
-  private void accepted(Job job, GeneratedJob drawn) {
+  private void onAccepted(Job job, GeneratedJob generated) {
     job.accepted = true;
-    job.answeredAt = loop.now();
-    judge.accepted(job.spec.id());
+    job.lastResponseAt = loop.now();
+    ruleChecker.jobAccepted(job.spec.id());
     if (recording) {
       acceptedMs.recordValue(loop.now().minus(job.submittedAt).toMillis());
     }
-    loop.after(POLL_EVERY, () -> poll(job));
-    if (drawn.cancelAfter() != null) {
-      loop.after(drawn.cancelAfter(), () -> cancel(job));
+    loop.after(POLL_INTERVAL, () -> poll(job));
+    if (generated.cancelAfter() != null) {
+      loop.after(generated.cancelAfter(), () -> cancel(job));
     }
   }
 
   private void poll(Job job) {
-    if (job.over) {
+    if (job.finished) {
       return;
     }
-    loop.after(POLL_EVERY, () -> poll(job));
-    ask(job);
+    loop.after(POLL_INTERVAL, () -> poll(job));
+    requestStatus(job);
   }
 
-  private void ask(Job job) {
+  private void requestStatus(Job job) {
     String path = "/v1/jobs/" + job.spec.id();
     callForBody(
         "GET",
@@ -162,17 +166,17 @@
         null,
         POLL_TIMEOUT,
         (status, body) -> {
-          judge.answered(job.spec.id(), status);
+          ruleChecker.jobAnswered(job.spec.id(), status);
           if (status == 200 && body != null) {
-            job.answeredAt = loop.now();
+            job.lastResponseAt = loop.now();
             String state = body.path("Status").asText();
-            job.over |= state.equals("done") || state.equals("withdrawn");
+            job.finished |= state.equals("done") || state.equals("withdrawn");
           }
         });
   }
 
   private void cancel(Job job) {
-    if (job.over) {
+    if (job.finished) {
       return;
     }
     callForBody(
@@ -182,31 +186,32 @@
         SUBMIT_TIMEOUT,
         (status, body) -> {
           if (status != 200 || body == null) {
-            loop.after(AGAIN, () -> cancel(job));
+            loop.after(RETRY_DELAY, () -> cancel(job));
             return;
           }
-          job.over = true;
+          job.finished = true;
           if (body.path("Status").asText().equals("withdrawn")) {
             loop.after(
-                settings.workerTimes().cancel(), () -> judge.cancelledLongAgo(job.spec.id()));
+                settings.workerTimes().cancelLimit(),
+                () -> ruleChecker.cancellationDue(job.spec.id()));
           }
         });
   }
 
-  private interface Answer {
-    /** Status 0 stands for none. */
-    void take(int status, ObjectNode body);
+  private interface ResponseCallback {
+    /** Receives status and body; status 0 means no response, a null body a malformed one. */
+    void onResponse(int status, ObjectNode body);
   }
 
   private void call(
-      String method, String path, byte[] body, Duration timeout, Consumer<Integer> then) {
-    callForBody(method, path, body, timeout, (status, answer) -> then.accept(status));
+      String method, String path, byte[] body, Duration timeout, Consumer<Integer> callback) {
+    callForBody(method, path, body, timeout, (status, responseBody) -> callback.accept(status));
   }
 
   private void callForBody(
-      String method, String path, byte[] body, Duration timeout, Answer then) {
-    int controller = choose();
-    caller.call(
+      String method, String path, byte[] body, Duration timeout, ResponseCallback callback) {
+    int controller = chooseController();
+    httpClient.call(
         addresses.front(controller),
         method,
         path,
@@ -215,62 +220,70 @@
         new HttpClient.ResponseHandler() {
           @Override
           public void onResponse(int status, byte[] answer) {
-            then.take(status, EmulatedFleet.decode(answer));
+            callback.onResponse(status, EmulatedFleet.decodeOrNull(answer));
           }
 
           @Override
           public void onNoResponse(boolean refusedConnection) {
-            skippedUntil.put(controller, loop.now().plus(SKIPPED));
-            then.take(0, null);
+            skippedUntil.put(controller, loop.now().plus(SKIP_DURATION));
+            callback.onResponse(0, null);
           }
         });
   }
 
-  /** Any controller that has not lately refused a connection; any at all if all have. */
-  private int choose() {
+  /**
+   * A random controller that has not failed to respond within the last {@link #SKIP_DURATION}; any
+   * controller if all have.
+   */
+  private int chooseController() {
     int first = random.nextInt(settings.controllers());
     for (int i = 0; i < settings.controllers(); i++) {
       int candidate = (first + i) % settings.controllers();
-      Duration until = skippedUntil.getOrDefault(candidate, Duration.ZERO);
-      if (loop.now().compareTo(until) >= 0) {
+      Duration skipUntil = skippedUntil.getOrDefault(candidate, Duration.ZERO);
+      if (loop.now().compareTo(skipUntil) >= 0) {
         return candidate;
       }
     }
     return first;
   }
 
-  /** Tells the judge of each accepted job that has had no answer since a moment. */
-  void judgeUnanswered(Duration since) {
+  /** Reports accepted, unfinished jobs without a successful response since a moment. */
+  void reportUnanswered(Duration since) {
     for (Job job : jobs.values()) {
-      if (job.accepted && !job.over && job.answeredAt.compareTo(since) < 0) {
-        judge.unanswered(job.spec.id());
+      if (job.accepted && !job.finished && job.lastResponseAt.compareTo(since) < 0) {
+        ruleChecker.jobUnanswered(job.spec.id());
       }
     }
   }
 
-  int submitted() {
+  /** Number of jobs that were submitted. */
+  int submittedCount() {
     return jobs.size();
   }
 
-  /** Answers to submissions other than an acceptance. */
-  long refused() {
-    return refused;
+  /** Number of responses to submissions other than an acceptance. */
+  long rejectedCount() {
+    return rejectedCount;
   }
 
+  /** Milliseconds from the first submission of a job to its acceptance, at a percentile. */
   long acceptedMs(double percentile) {
     return acceptedMs.getValueAtPercentile(percentile);
   }
 
-  /** The part of a class's jobs, submitted before a moment, of which a task has begun; 1 for none. */
-  double begun(String jobClass, Duration before) {
-    int all = 0;
-    int begun = 0;
+  /**
+   * Share of the jobs of a class, submitted before a moment, that have started a task or finished;
+   * 1 if there are none.
+   */
+  double startedShare(String jobClass, Duration before) {
+    int total = 0;
+    int started = 0;
     for (Job job : jobs.values()) {
       if (job.spec.jobClass().equals(jobClass) && job.submittedAt.compareTo(before) < 0) {
-        all++;
-        begun += job.over || times.hasBegun(job.spec.id()) ? 1 : 0;
+        total++;
+        started += job.finished || taskTimes.hasStarted(job.spec.id()) ? 1 : 0;
       }
     }
-    return all == 0 ? 1 : (double) begun / all;
+    return total == 0 ? 1 : (double) started / total;
   }
 }
--- a/src/main/java/io/tansystack/emulator/EmulatedWorker.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedWorker.java
@@ -19,14 +19,14 @@
 import java.util.Set;
 
 /**
- * A worker after the published protocol, without the work: tokens, sessions, its lease, commands and
- * the states that tasks go through. How its reports travel is the driver's matter.
+ * Emulates the published protocol of a worker without running tasks: fencing tokens, sessions, the
+ * lease, commands and task states. The driver (scale run or simulation) transports its reports.
  */
 public final class EmulatedWorker {
   private static final double EPSILON = 1e-9;
 
-  /** The lease ends when more than its length has passed. */
-  private static final Duration LEASE_STEP = Duration.ofMillis(1);
+  /** Delay of the check: the lease expires only when more than its duration has passed. */
+  private static final Duration LEASE_EXPIRY_MARGIN = Duration.ofMillis(1);
 
   private final WorkerEnvironment environment;
   private final EmulatedGangs gangs;
@@ -39,28 +39,28 @@
   private final Duration rentedAt;
   private final Map<String, TaskReport> tasks = new LinkedHashMap<>();
 
-  /** Keys of the tasks that have their image and have not exited. */
-  private final Set<String> begun = new LinkedHashSet<>();
+  /** Keys of the tasks that have their image and have not exited. Key: job/index#attempt. */
+  private final Set<String> started = new LinkedHashSet<>();
 
   private Duration lease;
   private long session = 1;
   private long sequence;
   private long token;
-  private Duration leaseFrom;
+  private Duration leaseStart;
   private Duration tokenChangedAt = Duration.ZERO;
   private boolean dead;
 
-  /** Until then it neither reports nor takes commands; what came meanwhile it takes afterwards. */
+  /** Until then it neither reports nor takes commands; commands received meanwhile run later. */
   private Duration hungUntil = Duration.ZERO;
 
-  /** Seconds until the cloud takes it away; null for none. */
-  private Double noticeS;
+  /** Seconds until the cloud reclaims the machine; null without a reclaim notice. */
+  private Double reclaimNoticeS;
 
-  private int lostTasks;
-  private int commandsTaken;
-  private final List<String> needlessCommands = new ArrayList<>();
+  private int lostTaskCount;
+  private int commandCount;
+  private final List<String> redundantCommands = new ArrayList<>();
 
-  /** @param lease after so long without an answered report all tasks are killed */
+  /** @param lease time without an answered report after which all tasks are killed */
   public EmulatedWorker(
       WorkerEnvironment environment,
       EmulatedGangs gangs,
@@ -80,7 +80,7 @@
     this.spot = spot;
     this.rentedAt = loop.now();
     this.lease = lease;
-    this.leaseFrom = loop.now();
+    this.leaseStart = loop.now();
     checkLease();
   }
 
@@ -88,7 +88,7 @@
     return name;
   }
 
-  /** Where it takes commands. */
+  /** Address (host:port) at which the worker receives commands. */
   public String address() {
     return address;
   }
@@ -105,7 +105,7 @@
     return spot;
   }
 
-  /** Time of the loop at which it was rented. */
+  /** Loop time at which the machine was rented. */
   public Duration rentedAt() {
     return rentedAt;
   }
@@ -114,27 +114,27 @@
     return session;
   }
 
-  /** The highest token it has seen. */
+  /** The highest token received so far. */
   public long token() {
     return token;
   }
 
-  /** As if it had seen commands under this token. */
-  public void token(long seen) {
-    token = seen;
+  /** Sets the token as if commands under it had been received. */
+  public void token(long newToken) {
+    token = newToken;
   }
 
   public void lease(Duration duration) {
     lease = duration;
   }
 
-  /** Restarts the lease, as an answered report does. */
-  public void keepLease() {
-    leaseFrom = loop.now();
+  /** Renews the lease, as an answered report does. */
+  public void renewLease() {
+    leaseStart = loop.now();
   }
 
-  public void noticeS(Double seconds) {
-    noticeS = seconds;
+  public void reclaimNoticeS(Double seconds) {
+    reclaimNoticeS = seconds;
   }
 
   public void hangUntil(Duration until) {
@@ -145,7 +145,7 @@
     return hungUntil;
   }
 
-  public boolean hangs() {
+  public boolean isHung() {
     return loop.now().compareTo(hungUntil) < 0;
   }
 
@@ -153,80 +153,80 @@
     return dead;
   }
 
-  /** How many tasks were killed when the lease ran out. */
-  public int lostTasks() {
-    return lostTasks;
+  /** Number of tasks that were killed because the lease expired. */
+  public int lostTaskCount() {
+    return lostTaskCount;
   }
 
-  public int commandsTaken() {
-    return commandsTaken;
+  public int commandCount() {
+    return commandCount;
   }
 
-  /** Commands that changed nothing: a controller that knows the machine would not have sent them. */
-  public List<String> needlessCommands() {
-    return needlessCommands;
+  /** Commands without effect; a controller with up-to-date state of the machine sends none. */
+  public List<String> redundantCommands() {
+    return redundantCommands;
   }
 
   private void checkLease() {
     if (dead) {
       return;
     }
-    Duration left = leaseFrom.plus(lease).minus(loop.now());
-    if (left.isNegative()) {
+    Duration remaining = leaseStart.plus(lease).minus(loop.now());
+    if (remaining.isNegative()) {
       startSession();
-      left = lease;
+      remaining = lease;
     }
-    loop.after(left.plus(LEASE_STEP), this::checkLease);
+    loop.after(remaining.plus(LEASE_EXPIRY_MARGIN), this::checkLease);
   }
 
   private void startSession() {
-    lostTasks += live().size();
+    lostTaskCount += liveTasks().size();
     tasks.clear();
-    endBegun();
+    endStartedTasks();
     session++;
-    leaseFrom = loop.now();
-    environment.changed(this);
+    leaseStart = loop.now();
+    environment.onChanged(this);
   }
 
-  private void endBegun() {
-    List<String> keys = List.copyOf(begun);
-    begun.clear();
-    keys.forEach(key -> environment.ended(this, taskOf(key)));
+  private void endStartedTasks() {
+    List<String> keys = List.copyOf(started);
+    started.clear();
+    keys.forEach(key -> environment.onEnded(this, taskOf(key)));
   }
 
   public Report report() {
     sequence++;
     return new Report(
-        name, address, type.name(), zone, spot, session, sequence, token, noticeS,
+        name, address, type.name(), zone, spot, session, sequence, token, reclaimNoticeS,
         new ArrayList<>(tasks.values()));
   }
 
-  /** Takes an answer to a report that was sent at a moment in a session. */
-  public void answered(int status, ObjectNode body, Duration sentAt, long sentSession) {
-    long answerToken = body.path("Baton").asLong();
-    if (status == 200 && sentSession == session && answerToken >= token) {
-      leaseFrom = sentAt;
-      seen(answerToken);
+  /** Handles the response to a report that was sent at {@code sentAt} in {@code sentSession}. */
+  public void onReportResponse(int status, ObjectNode body, Duration sentAt, long sentSession) {
+    long responseToken = body.path("Baton").asLong();
+    if (status == 200 && sentSession == session && responseToken >= token) {
+      leaseStart = sentAt;
+      acceptToken(responseToken);
     }
   }
 
-  /** A higher token counts as a change once per half of the lease at most. */
-  private void seen(long newToken) {
+  /** A higher token triggers a report of the change at most once per half of the lease. */
+  private void acceptToken(long newToken) {
     boolean higher = newToken > token;
     token = newToken;
     Duration now = loop.now();
     if (higher && now.minus(tokenChangedAt).multipliedBy(2).compareTo(lease) >= 0) {
       tokenChangedAt = now;
-      environment.changed(this);
+      environment.onChanged(this);
     }
   }
 
-  /** Executes direct commands, or refuses them; tells the status of the answer. */
-  public int commands(ObjectNode body) {
+  /** Executes commands, or rejects them if token or session is stale; returns the HTTP status. */
+  public int handleCommands(ObjectNode body) {
     if (body.get("Baton").asLong() < token || body.get("Shift").asLong() != session) {
       return 409;
     }
-    seen(body.get("Baton").asLong());
+    acceptToken(body.get("Baton").asLong());
     for (JsonNode command : body.get("Signals")) {
       execute(command);
     }
@@ -238,20 +238,20 @@
     long attempt = command.get("Departure").asLong();
     String operation = command.get("Aspect").asText();
     String key = id + "#" + attempt;
-    commandsTaken++;
-    TaskReport held = tasks.get(key);
+    commandCount++;
+    TaskReport current = tasks.get(key);
     boolean needed =
         switch (operation) {
-          case "launch" -> held == null;
-          case "halt" -> held != null && !held.exited();
-          default -> held != null && held.exited();
+          case "launch" -> current == null;
+          case "halt" -> current != null && !current.exited();
+          default -> current != null && current.exited();
         };
     if (!needed) {
-      needlessCommands.add(command + " of " + held);
+      redundantCommands.add(command + " for " + current);
     }
     switch (operation) {
       case "launch" -> launch(taskOf(key), attempt, key);
-      case "halt" -> halt(key, command.path("SlackS").asDouble());
+      case "halt" -> stop(key, command.path("SlackS").asDouble());
       default -> forget(key);
     }
   }
@@ -274,56 +274,56 @@
       return;
     }
     boolean busy = tasks.values().stream().anyMatch(t -> t.task().equals(task) && !t.exited());
-    boolean refused =
-        environment.refusesLaunch() || !hasRoomFor(environment.description(task.job()));
-    if (busy || refused) {
+    boolean rejected =
+        environment.refusesLaunch() || !hasCapacityFor(environment.jobSpec(task.job()));
+    if (busy || rejected) {
       Cause cause = busy ? Cause.BUSY : Cause.NO_ROOM;
       tasks.put(key, new TaskReport(task, attempt, State.EXITED, cause, false));
       return;
     }
-    environment.launched(this, task);
+    environment.onLaunched(this, task);
     Duration fetch = environment.fetchTime(this, task.job());
     if (fetch.isZero()) {
-      begin(task, attempt, key);
+      start(task, attempt, key);
       return;
     }
     tasks.put(key, new TaskReport(task, attempt, State.FETCHING, null, false));
-    environment.changed(this);
-    later(fetch, key, State.FETCHING, () -> begin(task, attempt, key));
+    environment.onChanged(this);
+    scheduleInState(fetch, key, State.FETCHING, () -> start(task, attempt, key));
   }
 
-  private void begin(TaskId task, long attempt, String key) {
+  private void start(TaskId task, long attempt, String key) {
     boolean gang = environment.gangSize(task.job()) > 0;
     State state = gang ? State.WAITING : State.RUNNING;
     tasks.put(key, new TaskReport(task, attempt, state, null, false));
-    begun.add(key);
-    environment.began(this, task);
-    environment.changed(this);
+    started.add(key);
+    environment.onStarted(this, task);
+    environment.onChanged(this);
     if (gang) {
-      gangs.arrived(this, key, task.job(), task.index(), attempt);
+      gangs.onTaskReady(this, key, task.job(), task.index(), attempt);
       return;
     }
-    // A result is kept: started again, the task ends as soon as it has its image.
+    // Results are durable: a task that completed before ends as soon as it has its image.
     Duration run = environment.hasCompleted(task) ? Duration.ZERO : environment.runTime(task);
-    later(run, key, State.RUNNING, () -> complete(task, key));
+    scheduleInState(run, key, State.RUNNING, () -> complete(task, key));
   }
 
   private void complete(TaskId task, String key) {
-    environment.completed(task);
+    environment.onCompleted(task);
     end(key, Cause.DONE);
-    environment.completionReported(this, task);
+    environment.onCompletionReported(this, task);
   }
 
-  /** Whether another task of the job fits; one whose description nobody has takes one CPU. */
-  public boolean hasRoomFor(JobSpec wanted) {
-    double cpus = wanted == null ? 1 : wanted.cpus();
-    double gpus = wanted == null ? 0 : wanted.gpus();
-    double memGb = wanted == null ? 1 : wanted.memGb();
+  /** Whether a task of the job fits; a task of an unknown job counts as 1 CPU and 1 GB. */
+  public boolean hasCapacityFor(JobSpec additional) {
+    double cpus = additional == null ? 1 : additional.cpus();
+    double gpus = additional == null ? 0 : additional.gpus();
+    double memGb = additional == null ? 1 : additional.memGb();
     for (TaskReport task : tasks.values()) {
       if (task.exited()) {
         continue;
       }
-      JobSpec spec = environment.description(task.task().job());
+      JobSpec spec = environment.jobSpec(task.task().job());
       cpus += spec == null ? 1 : spec.cpus();
       gpus += spec == null ? 0 : spec.gpus();
       memGb += spec == null ? 1 : spec.memGb();
@@ -333,21 +333,21 @@
         && memGb <= type.memGb() + EPSILON;
   }
 
-  /** Runs after the delay, if the task is still there in that state. */
-  private void later(Duration delay, String key, State state, Runnable then) {
+  /** Runs the action after the delay if the task is still in that state, in the same session. */
+  private void scheduleInState(Duration delay, String key, State state, Runnable action) {
     long inSession = session;
     loop.after(
         delay,
         () -> {
           TaskReport task = tasks.get(key);
           if (!dead && session == inSession && task != null && task.state() == state) {
-            then.run();
+            action.run();
           }
         });
   }
 
-  /** A task that saves goes on to do so; told to stop at once, or with nothing to save, it ends. */
-  private void halt(String key, double graceS) {
+  /** A running task saves first if it has grace time and something to save; others end at once. */
+  private void stop(String key, double graceS) {
     TaskReport task = tasks.get(key);
     boolean saves =
         task != null
@@ -356,46 +356,46 @@
             && !environment.saveTime().isZero();
     if (saves) {
       tasks.put(key, new TaskReport(task.task(), task.attempt(), State.SAVING, null, false));
-      later(environment.saveTime(), key, State.SAVING, () -> end(key, Cause.STOPPED));
+      scheduleInState(environment.saveTime(), key, State.SAVING, () -> end(key, Cause.STOPPED));
     } else {
       end(key, Cause.STOPPED);
     }
   }
 
-  /** What the task is doing; null if the worker knows nothing of it. */
+  /** State of the task; null if the worker doesn't have it or is dead. */
   public State stateOf(String key) {
     TaskReport task = dead ? null : tasks.get(key);
     return task == null ? null : task.state();
   }
 
-  /** All tasks of its gang are there: it runs. */
+  /** Sets a gang's task running, once all tasks of the gang are waiting. */
   void startRunning(String key) {
     TaskReport task = tasks.get(key);
     tasks.put(key, new TaskReport(task.task(), task.attempt(), State.RUNNING, null, false));
-    environment.changed(this);
+    environment.onChanged(this);
   }
 
-  /** The task exits for the given cause, unless it has already. */
+  /** The task exits with the given cause, unless it has already exited. */
   public void end(String key, Cause cause) {
     TaskReport task = tasks.get(key);
     if (task != null && !task.exited()) {
       tasks.put(key, new TaskReport(task.task(), task.attempt(), State.EXITED, cause, false));
-      if (begun.remove(key)) {
-        environment.ended(this, task.task());
+      if (started.remove(key)) {
+        environment.onEnded(this, task.task());
       }
-      environment.changed(this);
+      environment.onChanged(this);
     }
   }
 
-  /** The cloud took it away, or it died: nothing on it is left. */
-  public void die() {
+  /** Marks the machine as reclaimed or failed; all its tasks are lost. */
+  public void markDead() {
     dead = true;
-    endBegun();
-    environment.changed(this);
+    endStartedTasks();
+    environment.onChanged(this);
   }
 
-  /** Tasks that have not exited, each with its attempt and the session. */
-  public List<String> attempts() {
+  /** Tasks that have not exited, each as task#attempt#session. */
+  public List<String> liveAttempts() {
     return dead
         ? List.of()
         : tasks.values().stream()
@@ -404,13 +404,13 @@
             .toList();
   }
 
-  public boolean holds(String task) {
+  public boolean hasLiveTask(String task) {
     return !dead
         && tasks.values().stream().anyMatch(t -> !t.exited() && t.task().toString().equals(task));
   }
 
   /** Tasks that have not exited. */
-  public List<String> live() {
+  public List<String> liveTasks() {
     return dead
         ? List.of()
         : tasks.values().stream().filter(t -> !t.exited()).map(t -> t.task().toString()).toList();
--- a/src/main/java/io/tansystack/emulator/MultiCellRun.java
+++ b/src/main/java/io/tansystack/emulator/MultiCellRun.java
@@ -19,12 +19,14 @@
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToLongFunction;
 
-/** Several cells at a time, each in a process of its own, and what they measured put together. */
+/** Runs several cells at the same time, each in its own process, and merges their results. */
 public final class MultiCellRun implements AutoCloseable {
-  /** A run may take this part of the machine's memory. */
-  private static final double MEMORY_PART = 0.5;
+  /** Share of the machine's memory that a run may use. */
+  private static final double MEMORY_SHARE = 0.5;
+
+  /** Time that the cells may take beyond their timeline and faults before the run fails. */
+  private static final Duration DEADLINE_MARGIN = Duration.ofSeconds(60);
 
-  private static final Duration SLACK = Duration.ofSeconds(60);
   private static final int EMULATOR_HEAP_MB = 384;
 
   private final ScaleSettings settings;
@@ -41,31 +43,36 @@
     this.progress = progress;
   }
 
-  /** What all processes of a run may need together, in MiB. */
+  /** Memory limit for all processes of a run together, in MiB. */
   public static double memoryLimitMb() {
-    return ProcessUsage.machineMb() * MEMORY_PART;
+    return ProcessUsage.machineMb() * MEMORY_SHARE;
   }
 
-  /** Plays all cells at the same time. */
+  /**
+   * Runs all cells at the same time.
+   *
+   * @throws IllegalStateException if a cell produces no result in time
+   */
   public ScaleResult run() throws IOException, InterruptedException {
     for (int cell = 0; cell < settings.cells(); cell++) {
-      start(cell);
+      startCell(cell);
     }
-    Duration bound =
-        settings.timeline().whole().plus(settings.faults().lasts()).plus(SLACK);
-    long deadline = System.nanoTime() + bound.toNanos();
+    Duration timeLimit =
+        settings.timeline().total().plus(settings.faults().duration()).plus(DEADLINE_MARGIN);
+    long deadline = System.nanoTime() + timeLimit.toNanos();
     List<ScaleResult> results = new ArrayList<>();
     for (int cell = 0; cell < settings.cells(); cell++) {
       boolean ended =
           processes.get(cell).waitFor(deadline - System.nanoTime(), TimeUnit.NANOSECONDS);
       Path file = resultFile(cell);
       if (!ended || !Files.exists(file)) {
-        throw new IllegalStateException("cell " + cell + " has no result; its log: " + log(cell));
+        throw new IllegalStateException(
+            "cell " + cell + " has produced no result; see its log: " + logFile(cell));
       }
       results.add(new ObjectMapper().readValue(file.toFile(), ScaleResult.class));
-      progress.accept("cell " + cell + " is over");
+      progress.accept("cell " + cell + " has finished");
     }
-    return together(results);
+    return merge(results);
   }
 
   private Path cellFolder(int cell) {
@@ -76,11 +83,11 @@
     return cellFolder(cell).resolve("result.json");
   }
 
-  private Path log(int cell) {
+  private Path logFile(int cell) {
     return cellFolder(cell).resolve("cell.log");
   }
 
-  private void start(int cell) throws IOException {
+  private void startCell(int cell) throws IOException {
     Files.createDirectories(cellFolder(cell));
     Files.deleteIfExists(resultFile(cell));
     Path file = cellFolder(cell).resolve("scale.toml");
@@ -96,34 +103,37 @@
     processes.add(
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(log(cell).toFile())
+            .redirectOutput(logFile(cell).toFile())
             .start());
   }
 
-  /** Sums of what adds up, the slowest cell's waits, and the mean of each role. */
-  static ScaleResult together(List<ScaleResult> results) {
+  /**
+   * Merges results: counts, rates and memory are added, waits are those of the slowest cell, the
+   * share of started jobs is the lowest, and figures of a role or worker are means.
+   */
+  static ScaleResult merge(List<ScaleResult> results) {
     List<String> broken = new ArrayList<>();
     for (int cell = 0; cell < results.size(); cell++) {
-      for (String what : results.get(cell).broken()) {
-        broken.add("cell " + cell + ": " + what);
+      for (String violation : results.get(cell).broken()) {
+        broken.add("cell " + cell + ": " + violation);
       }
     }
     ScaleResult first = results.get(0);
     List<ClassResult> classes = new ArrayList<>();
     for (int i = 0; i < first.classes().size(); i++) {
-      int at = i;
-      List<ClassResult> all = results.stream().map(r -> r.classes().get(at)).toList();
+      int index = i;
+      List<ClassResult> all = results.stream().map(r -> r.classes().get(index)).toList();
       classes.add(
           new ClassResult(
               all.get(0).name(),
               all.stream().mapToDouble(ClassResult::begun).min().orElse(1),
-              most(all, ClassResult::waitMsP50),
-              most(all, ClassResult::waitMsP99)));
+              max(all, ClassResult::waitMsP50),
+              max(all, ClassResult::waitMsP99)));
     }
     List<RoleResult> roles = new ArrayList<>();
     for (int i = 0; i < first.roles().size(); i++) {
-      int at = i;
-      roles.add(role(results.stream().map(r -> r.roles().get(at)).toList()));
+      int index = i;
+      roles.add(meanRole(results.stream().map(r -> r.roles().get(index)).toList()));
     }
     List<Submissions> submissions = results.stream().map(ScaleResult::submissions).toList();
     List<StoreResult> stores = results.stream().map(ScaleResult::store).toList();
@@ -142,8 +152,8 @@
         classes,
         new Submissions(
             (int) sum(submissions, Submissions::jobs),
-            most(submissions, Submissions::acceptedMsP50),
-            most(submissions, Submissions::acceptedMsP99),
+            max(submissions, Submissions::acceptedMsP50),
+            max(submissions, Submissions::acceptedMsP99),
             (long) sum(submissions, Submissions::refused)),
         roles,
         new StoreResult(
@@ -163,11 +173,12 @@
 
   private static Map<String, Double> writesByKind(List<StoreResult> stores) {
     Map<String, Double> all = new TreeMap<>();
-    stores.forEach(store -> store.writesByKind().forEach((kind, n) -> all.merge(kind, n, Double::sum)));
+    stores.forEach(
+        store -> store.writesByKind().forEach((kind, n) -> all.merge(kind, n, Double::sum)));
     return all;
   }
 
-  private static RoleResult role(List<RoleResult> all) {
+  private static RoleResult meanRole(List<RoleResult> all) {
     return new RoleResult(
         all.get(0).role(),
         (int) sum(all, RoleResult::count),
@@ -177,19 +188,19 @@
         mean(all, RoleResult::outKbPerSecond));
   }
 
-  private static <T> double sum(List<T> all, ToDoubleFunction<T> of) {
-    return all.stream().mapToDouble(of).sum();
+  private static <T> double sum(List<T> all, ToDoubleFunction<T> component) {
+    return all.stream().mapToDouble(component).sum();
   }
 
-  private static <T> double mean(List<T> all, ToDoubleFunction<T> of) {
-    return all.stream().mapToDouble(of).average().orElse(0);
+  private static <T> double mean(List<T> all, ToDoubleFunction<T> component) {
+    return all.stream().mapToDouble(component).average().orElse(0);
   }
 
-  private static <T> long most(List<T> all, ToLongFunction<T> of) {
-    return all.stream().mapToLong(of).max().orElse(0);
+  private static <T> long max(List<T> all, ToLongFunction<T> component) {
+    return all.stream().mapToLong(component).max().orElse(0);
   }
 
-  /** Ends the cells' processes; each ends its own controllers when it is told to. */
+  /** Terminates the cells' processes, each of which ends its controllers in its shutdown hook. */
   @Override
   public void close() {
     processes.forEach(Process::destroy);
--- a/src/main/java/io/tansystack/emulator/ReportSender.java
+++ b/src/main/java/io/tansystack/emulator/ReportSender.java
@@ -10,31 +10,38 @@
 import java.util.Random;
 
 /**
- * Carries an emulated worker's reports to the controllers, as the protocol has it: to one node at a
- * time with one report in flight, regularly and after changes, and to the next node where one does
- * not answer.
+ * Sends an emulated worker's reports to the controllers according to the protocol: to one node at a
+ * time with one report in flight, at regular intervals and after changes, and to the next node if a
+ * node does not respond.
  */
 final class ReportSender {
-  private static final Duration TIMEOUT = Duration.ofSeconds(4);
-  private static final Duration NEXT_NODE = Duration.ofSeconds(1);
-  private static final Duration REDIRECT_WAIT = Duration.ofMillis(500);
-  private static final Duration CHANGE_GAP = Duration.ofMillis(500);
+  private static final Duration REPORT_TIMEOUT = Duration.ofSeconds(4);
+  private static final Duration NEXT_NODE_DELAY = Duration.ofSeconds(1);
+
+  /** Upper bound of the random delay before a report to the node named by a redirect. */
+  private static final Duration MAX_REDIRECT_DELAY = Duration.ofMillis(500);
+
+  /** Minimum time between two reports when the later one is triggered by a change. */
+  private static final Duration MIN_CHANGE_INTERVAL = Duration.ofMillis(500);
+
+  /** Largest relative deviation from the regular report interval, either way. */
   private static final double JITTER = 0.25;
-  private static final String LABEL = "c-";
+
+  private static final String LABEL_PREFIX = "c-";
 
   private final EmulatedWorker worker;
   private final EventLoop loop;
-  private final UndertowHttpClient caller;
+  private final UndertowHttpClient httpClient;
   private final ScaleSettings settings;
   private final CellAddresses addresses;
   private final TrafficCounters traffic;
   private final Random random;
   private int target;
   private boolean inFlight;
-  private boolean changed;
+  private boolean changePending;
   private boolean stopped;
   private Duration sentAt = Duration.ZERO;
-  private EventLoop.Timer next;
+  private EventLoop.Timer nextReport;
 
   ReportSender(
       EmulatedWorker worker,
@@ -46,7 +53,7 @@
       int firstTarget) {
     this.worker = worker;
     this.loop = role.loop();
-    this.caller = role.caller(1);
+    this.httpClient = role.httpClient(1);
     this.settings = settings;
     this.addresses = addresses;
     this.traffic = traffic;
@@ -54,63 +61,65 @@
     this.target = firstTarget;
   }
 
+  /** Label of a controller, by its index. */
   static String label(int controller) {
-    return LABEL + controller;
+    return LABEL_PREFIX + controller;
   }
 
+  /** Sends the first report after the delay. */
   void startIn(Duration delay) {
     schedule(delay);
   }
 
   void stop() {
     stopped = true;
-    if (next != null) {
-      next.cancel();
+    if (nextReport != null) {
+      nextReport.cancel();
     }
   }
 
-  /** Its next report follows soon. */
-  void changed() {
-    changed = true;
-    if (!inFlight && next != null) {
-      Duration gap = sentAt.plus(CHANGE_GAP).minus(loop.now());
-      schedule(gap.isNegative() ? Duration.ZERO : gap);
+  /** Brings the next report forward, because the worker's state has changed. */
+  void onChanged() {
+    changePending = true;
+    if (!inFlight && nextReport != null) {
+      Duration delay = sentAt.plus(MIN_CHANGE_INTERVAL).minus(loop.now());
+      schedule(delay.isNegative() ? Duration.ZERO : delay);
     }
   }
 
   private void schedule(Duration delay) {
-    if (next != null) {
-      next.cancel();
+    if (nextReport != null) {
+      nextReport.cancel();
     }
-    next = loop.after(delay, this::report);
+    nextReport = loop.after(delay, this::sendReport);
   }
 
-  private void report() {
+  private void sendReport() {
     if (stopped) {
       return;
     }
-    next = null;
+    nextReport = null;
     inFlight = true;
-    changed = false;
+    changePending = false;
     sentAt = loop.now();
-    Duration at = sentAt;
+    Duration reportSentAt = sentAt;
     long session = worker.session();
     byte[] body = Cbor.encode(worker.report().write());
     traffic.reports++;
     traffic.reportBytes += body.length + TrafficCounters.REQUEST_HEADER_BYTES;
     InetSocketAddress to = addresses.front(target);
-    caller.call(
+    httpClient.call(
         to,
         "POST",
         "/v1/report",
         body,
-        TIMEOUT,
+        REPORT_TIMEOUT,
         new HttpClient.ResponseHandler() {
           @Override
           public void onResponse(int status, byte[] answer) {
-            traffic.reportBytes += answer.length + TrafficCounters.ANSWER_HEADER_BYTES;
+            traffic.reportBytes += answer.length + TrafficCounters.RESPONSE_HEADER_BYTES;
             inFlight = false;
-            answered(status, EmulatedFleet.decode(answer), at, session);
+            handleReportResponse(status, EmulatedFleet.decodeOrNull(answer), reportSentAt, session);
           }
 
           @Override
@@ -121,42 +130,44 @@
         });
   }
 
-  private void answered(int status, ObjectNode body, Duration at, long session) {
+  private void handleReportResponse(int status, ObjectNode body, Duration reportSentAt, long session) {
     if (stopped) {
       return;
     }
     if (status == 200 && body != null) {
-      worker.answered(status, body, at, session);
-      schedule(changed ? untilChangeReport() : regular());
+      worker.onReportResponse(status, body, reportSentAt, session);
+      schedule(changePending ? untilChangeReport() : untilRegularReport());
       return;
     }
-    int redirect = status == 421 && body != null ? controller(body) : -1;
+    int redirect = status == 421 && body != null ? redirectTarget(body) : -1;
     if (redirect >= 0 && redirect != target) {
       target = redirect;
-      schedule(Duration.ofMillis(random.nextInt((int) REDIRECT_WAIT.toMillis())));
+      schedule(Duration.ofMillis(random.nextInt((int) MAX_REDIRECT_DELAY.toMillis())));
     } else {
       tryNextNode();
     }
   }
 
   private Duration untilChangeReport() {
-    Duration gap = sentAt.plus(CHANGE_GAP).minus(loop.now());
-    return gap.isNegative() ? Duration.ZERO : gap;
+    Duration delay = sentAt.plus(MIN_CHANGE_INTERVAL).minus(loop.now());
+    return delay.isNegative() ? Duration.ZERO : delay;
   }
 
-  private Duration regular() {
+  private Duration untilRegularReport() {
     double factor = 1 - JITTER + 2 * JITTER * random.nextDouble();
-    Duration due = sentAt.plusNanos((long) (settings.workerTimes().report().toNanos() * factor));
+    Duration due =
+        sentAt.plusNanos((long) (settings.workerTimes().reportInterval().toNanos() * factor));
     Duration wait = due.minus(loop.now());
     return wait.isNegative() ? Duration.ZERO : wait;
   }
 
-  private int controller(ObjectNode body) {
+  /** Index of the controller named by a redirect; -1 if the controller is unknown. */
+  private int redirectTarget(ObjectNode body) {
     String label = body.path("Dispatcher").asText("");
-    if (!label.startsWith(LABEL)) {
+    if (!label.startsWith(LABEL_PREFIX)) {
       return -1;
     }
-    int index = Integer.parseInt(label.substring(LABEL.length()));
+    int index = Integer.parseInt(label.substring(LABEL_PREFIX.length()));
     return index < settings.controllers() ? index : -1;
   }
 
@@ -165,6 +176,6 @@
       return;
     }
     target = (target + 1) % settings.controllers();
-    schedule(NEXT_NODE);
+    schedule(NEXT_NODE_DELAY);
   }
 }
--- a/src/main/java/io/tansystack/emulator/RoleEventLoop.java
+++ b/src/main/java/io/tansystack/emulator/RoleEventLoop.java
@@ -19,14 +19,14 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** One emulated role on a thread of its own, so that its processor time can be told. */
+/** Runs one emulated role on its own thread, so that the CPU time of the role can be measured. */
 final class RoleEventLoop {
-  private static final int BUFFER = 8192;
-  private static final int MAX_BODY = 1 << 20;
-  private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(10);
+  private static final int BUFFER_SIZE = 8192;
+  private static final int MAX_BODY_BYTES = 1 << 20;
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(10);
 
   private final XnioWorker worker;
-  private final ByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER, 256, 0);
+  private final ByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER_SIZE, 256, 0);
   private final EventLoop loop;
   private final AddressServer server;
   private volatile boolean stopped;
@@ -44,7 +44,7 @@
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
     loop = new StoppableLoop(new XnioEventLoop(worker.getIoThread()));
-    server = new AddressServer(worker, buffers, MAX_BODY);
+    server = new AddressServer(worker, buffers, MAX_BODY_BYTES);
     loop.execute(() -> threadId.complete(Thread.currentThread().getId()));
   }
 
@@ -56,28 +56,32 @@
     return server;
   }
 
-  /** A client with connections of its own. */
-  UndertowHttpClient caller(int connectionsPerAddress) {
+  /** Creates a client with its own connections. */
+  UndertowHttpClient httpClient(int connectionsPerAddress) {
     return new UndertowHttpClient(worker.getIoThread(), loop, buffers, connectionsPerAddress);
   }
 
-  /** What the loop's thread says of the state that it owns. */
-  <T> T ask(Supplier<T> question) throws InterruptedException {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    loop.execute(() -> answer.complete(question.get()));
-    return await(answer);
+  /**
+   * Runs the supplier on the loop's thread, which owns the role's state, and waits for the result.
+   *
+   * @throws IllegalStateException if there is no result within {@link #CALL_TIMEOUT}
+   */
+  <T> T call(Supplier<T> supplier) throws InterruptedException {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    loop.execute(() -> result.complete(supplier.get()));
+    return await(result);
   }
 
-  /** Processor time of the role's thread so far. */
-  Duration processorTime() throws InterruptedException {
+  /** CPU time used by the role's thread so far. */
+  Duration cpuTime() throws InterruptedException {
     return Duration.ofNanos(ManagementFactory.getThreadMXBean().getThreadCpuTime(await(threadId)));
   }
 
-  private static <T> T await(CompletableFuture<T> answer) throws InterruptedException {
+  private static <T> T await(CompletableFuture<T> future) throws InterruptedException {
     try {
-      return answer.get(ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+      return future.get(CALL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IllegalStateException("a role of the scale run does not answer", e);
+      throw new IllegalStateException("an emulated role of the scale run does not respond", e);
     }
   }
 
@@ -86,28 +90,28 @@
     worker.shutdownNow();
   }
 
-  /** What its tasks ask for after the stop is left undone. */
+  /** Ignores tasks and timers that are submitted after the stop. */
   private final class StoppableLoop implements EventLoop {
-    private final EventLoop running;
+    private final EventLoop delegate;
 
-    StoppableLoop(EventLoop running) {
-      this.running = running;
+    StoppableLoop(EventLoop delegate) {
+      this.delegate = delegate;
     }
 
     @Override
     public Duration now() {
-      return running.now();
+      return delegate.now();
     }
 
     @Override
     public Timer after(Duration delay, Runnable task) {
-      return stopped ? () -> {} : running.after(delay, task);
+      return stopped ? () -> {} : delegate.after(delay, task);
     }
 
     @Override
     public void execute(Runnable task) {
       if (!stopped) {
-        running.execute(task);
+        delegate.execute(task);
       }
     }
   }
--- a/src/main/java/io/tansystack/emulator/RuleChecker.java
+++ b/src/main/java/io/tansystack/emulator/RuleChecker.java
@@ -11,139 +11,147 @@
 import java.util.Set;
 
 /**
- * Judges the protocol's rules over all that a scale run sees: each task that comes to or goes from a
- * machine, and each answer to users. Safe for use by several threads.
+ * Checks the protocol's rules against the events of a scale run: each task that starts or ends on a
+ * machine, and each response to users. Thread-safe.
  */
 final class RuleChecker {
   private static final double EPSILON = 1e-6;
-  private static final int MOST_NAMED = 100;
+  private static final int MAX_LISTED = 100;
 
-  /** A team's limit; 0 stands for none. */
+  /** Resource limit of a team; 0 means no limit. */
   record Limit(double cpus, double gpus) {}
 
-  private static final class Use {
+  private static final class Usage {
     double cpus;
     double gpus;
   }
 
   private final Map<String, Limit> limits;
   private final Map<String, JobSpec> jobs = new HashMap<>();
-  private final Map<TaskId, String> machineOf = new HashMap<>();
-  private final Map<String, Set<TaskId>> tasksOf = new HashMap<>();
-  private final Map<String, Use> used = new HashMap<>();
-  private final Set<String> accepted = new HashSet<>();
-  private final Set<String> mustBeGone = new HashSet<>();
-  private final Set<String> broken = new LinkedHashSet<>();
-  private long brokenCount;
-  private boolean anyBegan;
+  private final Map<TaskId, String> machineByTask = new HashMap<>();
+  private final Map<String, Set<TaskId>> tasksByJob = new HashMap<>();
+  private final Map<String, Usage> usageByTeam = new HashMap<>();
+  private final Set<String> acceptedJobs = new HashSet<>();
+  private final Set<String> cancellationsDue = new HashSet<>();
+  private final Set<String> violations = new LinkedHashSet<>();
+  private long violationCount;
+  private boolean anyStarted;
 
   RuleChecker(Map<String, Limit> limits) {
     this.limits = limits;
   }
 
-  synchronized void submitted(JobSpec spec) {
+  synchronized void jobSubmitted(JobSpec spec) {
     jobs.put(spec.id(), spec);
   }
 
-  /** The job's description; null if nobody submitted it. */
-  synchronized JobSpec job(String id) {
+  /** Specification of a job; null if it was not submitted. */
+  synchronized JobSpec jobSpec(String id) {
     return jobs.get(id);
   }
 
-  synchronized void began(String machine, TaskId task) {
-    anyBegan = true;
-    String other = machineOf.put(task, machine);
+  /** Records that a task is on a machine and has its image. */
+  synchronized void taskStarted(String machine, TaskId task) {
+    anyStarted = true;
+    String other = machineByTask.put(task, machine);
     if (other != null && !other.equals(machine)) {
-      breach("ran_twice " + task + " on " + other + " and " + machine);
+      addViolation("ran_twice " + task + " on " + other + " and " + machine);
     }
-    tasksOf.computeIfAbsent(task.job(), k -> new HashSet<>()).add(task);
-    if (mustBeGone.contains(task.job())) {
-      breach("ran_cancelled " + task + " began on " + machine);
+    tasksByJob.computeIfAbsent(task.job(), k -> new HashSet<>()).add(task);
+    if (cancellationsDue.contains(task.job())) {
+      addViolation("ran_cancelled " + task + " started on " + machine);
     }
     JobSpec spec = jobs.get(task.job());
     if (spec != null) {
-      use(spec, 1);
+      addUsage(spec, 1);
     }
   }
 
-  private void use(JobSpec spec, int tasks) {
-    Use use = used.computeIfAbsent(spec.team(), k -> new Use());
-    use.cpus += tasks * spec.cpus();
-    use.gpus += tasks * spec.gpus();
+  private void addUsage(JobSpec spec, int tasks) {
+    Usage usage = usageByTeam.computeIfAbsent(spec.team(), k -> new Usage());
+    usage.cpus += tasks * spec.cpus();
+    usage.gpus += tasks * spec.gpus();
     Limit limit = limits.getOrDefault(spec.team(), new Limit(0, 0));
-    boolean overCpus = limit.cpus > 0 && use.cpus > limit.cpus + EPSILON;
-    boolean overGpus = limit.gpus > 0 && use.gpus > limit.gpus + EPSILON;
+    boolean overCpus = limit.cpus > 0 && usage.cpus > limit.cpus + EPSILON;
+    boolean overGpus = limit.gpus > 0 && usage.gpus > limit.gpus + EPSILON;
     if (tasks > 0 && (overCpus || overGpus)) {
-      breach("quota " + spec.team() + " uses " + use.cpus + " and " + use.gpus + " of " + limit);
+      addViolation(
+          "quota " + spec.team() + " uses " + usage.cpus + " CPUs and " + usage.gpus
+              + " GPUs of " + limit);
     }
   }
 
-  synchronized void ended(String machine, TaskId task) {
-    if (!machineOf.remove(task, machine)) {
+  /** Records that a task is no longer on a machine; ignored if it is known on another machine. */
+  synchronized void taskEnded(String machine, TaskId task) {
+    if (!machineByTask.remove(task, machine)) {
       return;
     }
-    Set<TaskId> tasks = tasksOf.get(task.job());
+    Set<TaskId> tasks = tasksByJob.get(task.job());
     tasks.remove(task);
     if (tasks.isEmpty()) {
-      tasksOf.remove(task.job());
+      tasksByJob.remove(task.job());
     }
     JobSpec spec = jobs.get(task.job());
     if (spec != null) {
-      use(spec, -1);
+      addUsage(spec, -1);
     }
   }
 
-  synchronized void accepted(String job) {
-    accepted.add(job);
+  synchronized void jobAccepted(String job) {
+    acceptedJobs.add(job);
   }
 
-  /** The user was told {@code cancel_s} ago that the job is cancelled. */
-  synchronized void cancelledLongAgo(String job) {
-    mustBeGone.add(job);
-    for (TaskId task : tasksOf.getOrDefault(job, Set.of())) {
-      breach("ran_cancelled " + task + " is still on " + machineOf.get(task));
+  /**
+   * To be called {@code cancel_s} after the user got the response that the job is cancelled: from
+   * now on no task of the job may be on a machine.
+   */
+  synchronized void cancellationDue(String job) {
+    cancellationsDue.add(job);
+    for (TaskId task : tasksByJob.getOrDefault(job, Set.of())) {
+      addViolation("ran_cancelled " + task + " is still on " + machineByTask.get(task));
     }
   }
 
-  /** An answer about a job. */
-  synchronized void answered(String job, int status) {
-    if (status == 404 && accepted.contains(job)) {
-      breach("forgotten " + job + " was answered 404");
+  /** Checks the response to a status request: an accepted job must not be answered with 404. */
+  synchronized void jobAnswered(String job, int status) {
+    if (status == 404 && acceptedJobs.contains(job)) {
+      addViolation("forgotten " + job + " was answered with 404");
     }
   }
 
-  /** At the end of the run no question about the job was answered any more. */
-  synchronized void unanswered(String job) {
-    if (accepted.contains(job)) {
-      breach("forgotten " + job + " is not answered");
+  /** Records that status requests for a job were no longer successful at the end of the run. */
+  synchronized void jobUnanswered(String job) {
+    if (acceptedJobs.contains(job)) {
+      addViolation("forgotten " + job + " got no successful response at the end of the run");
     }
   }
 
-  /** What can only be told at the end. */
-  synchronized void atTheEnd() {
-    if (!anyBegan) {
-      breach("nothing_ran");
+  /** Checks the rules that can be decided only at the end of the run. */
+  synchronized void checkAtEnd() {
+    if (!anyStarted) {
+      addViolation("nothing_ran");
     }
   }
 
-  private void breach(String what) {
-    brokenCount++;
-    if (broken.size() < MOST_NAMED) {
-      broken.add(what);
+  private void addViolation(String violation) {
+    violationCount++;
+    if (violations.size() < MAX_LISTED) {
+      violations.add(violation);
     }
   }
 
-  /** What was broken; the first hundred are named. */
-  synchronized List<String> broken() {
-    return new ArrayList<>(broken);
+  /** The distinct violations, of which at most the first {@link #MAX_LISTED} are listed. */
+  synchronized List<String> violations() {
+    return new ArrayList<>(violations);
   }
 
-  synchronized long brokenCount() {
-    return brokenCount;
+  /** Number of all violations, repeated and unlisted ones included. */
+  synchronized long violationCount() {
+    return violationCount;
   }
 
-  /** How many tasks are on machines. */
-  synchronized int running() {
-    return machineOf.size();
+  /** Number of tasks that are on machines and have their image. */
+  synchronized int runningTasks() {
+    return machineByTask.size();
   }
 }
--- a/src/main/java/io/tansystack/emulator/ScaleResult.java
+++ b/src/main/java/io/tansystack/emulator/ScaleResult.java
@@ -4,11 +4,19 @@
 import java.util.Map;
 
 /**
- * What a scale run has measured. Absolute times don't travel between machines; slopes and ratios
- * between runs on one machine do.
+ * The measurements of a scale run. Absolute times can't be compared between machines; slopes and
+ * ratios between runs on one machine can. The component names are the field names of
+ * {@code result.json}.
  *
- * @param startsPerSecond tasks that began, and that users asked for
- * @param memoryMb of all processes together at the end of the measured phase
+ * @param seconds duration of the whole run
+ * @param startsPerSecond task starts per second in the measured phase
+ * @param wantedPerSecond task starts per second that users request
+ * @param running tasks on workers at the end
+ * @param alive workers at the end
+ * @param lostTasks tasks killed because their worker's lease expired
+ * @param memoryMb resident memory of all processes together at the end of the measured phase
+ * @param brokenCount number of rule violations
+ * @param broken descriptions of the first distinct rule violations
  */
 public record ScaleResult(
     int cells,
@@ -29,25 +37,46 @@
     long brokenCount,
     List<String> broken) {
 
-  /** @param begun the part of the jobs of the warm-up that have begun by the end */
+  /**
+   * Figures of one job class. Waits are from submission to the first task start, in milliseconds,
+   * for jobs submitted in the measured phase; -1 if none of them has started.
+   *
+   * @param begun share of the jobs submitted during warm-up that have started a task or finished
+   *     by the end; 1 if there are none
+   */
   public record ClassResult(String name, double begun, long waitMsP50, long waitMsP99) {}
 
-  /** @param refused answers other than an acceptance */
+  /**
+   * Figures of job submissions.
+   *
+   * @param acceptedMsP50 median time from submission to acceptance, in the measured phase
+   * @param refused responses other than an acceptance
+   */
   public record Submissions(int jobs, long acceptedMsP50, long acceptedMsP99, long refused) {}
 
   /**
-   * One role, by the mean of its processes.
+   * Resource usage of one role, as the mean of its processes.
    *
-   * @param cores processor time by time
-   * @param inKbPerSecond read, and written, with all headers; 0 for roles that share a process
+   * @param count number of processes that were measured
+   * @param cores CPU time divided by elapsed time
+   * @param memoryMb resident memory; 0 for roles that share a process
+   * @param inKbPerSecond KiB read per second, with all headers; 0 for roles that share a process
+   * @param outKbPerSecond KiB written per second, likewise
    */
   public record RoleResult(
-      String role, int count, double cores, double memoryMb, double inKbPerSecond, double outKbPerSecond) {}
+      String role,
+      int count,
+      double cores,
+      double memoryMb,
+      double inKbPerSecond,
+      double outKbPerSecond) {}
 
   /**
-   * Keys and bytes (as JSON) at the end, rates of the measured phase.
+   * Figures of the state service: its content at the end, and rates in the measured phase.
    *
-   * @param writesByKind writes a second by the first two parts of their keys
+   * @param valueKb total size of the values, as JSON
+   * @param refusedPerSecond requests and transactions rejected because they exceeded a limit
+   * @param writesByKind writes per second by the first two segments of their keys
    */
   public record StoreResult(
       long keys,
@@ -57,11 +86,11 @@
       double refusedPerSecond,
       Map<String, Double> writesByKind) {}
 
-  /** By worker: messages and bytes a second, both ways, with headers. */
+  /** Messages and bytes per second and worker, in both directions, with headers. */
   public record WorkerTraffic(
       double reportsPerSecond, double commandsPerSecond, double bytesPerSecond) {}
 
-  /** Whether every rule held. */
+  /** Whether no rule was violated. */
   public boolean rulesHeld() {
     return brokenCount == 0;
   }
--- a/src/main/java/io/tansystack/emulator/ScaleSettings.java
+++ b/src/main/java/io/tansystack/emulator/ScaleSettings.java
@@ -6,15 +6,17 @@
 import java.time.Duration;
 
 /**
- * The operators' settings of a scale run. Every key has a default, and the defaults are the whole
- * size that is planned for; a cell gets its share of workers, controllers, work and teams.
+ * Settings of a scale run. Every key has a default, and the defaults are the full planned size.
+ * Each cell gets its share of workers, controllers and task starts, and has {@code teams} teams of
+ * its own.
  *
- * @param cells regions, each with a state service, a cloud interface and users of its own
- * @param workers over all cells, up from the beginning
- * @param controllers over all cells
- * @param teams in each cell, all with a limit
- * @param startsPerSecond task starts that users ask for, over all cells
- * @param seed of all that is drawn
+ * @param cells number of regions, each with its own state service, cloud interface and users
+ * @param workers number of workers in all cells together; all are up from the beginning
+ * @param controllers number of controllers in all cells together
+ * @param zones number of zones in each cell
+ * @param teams number of teams in each cell, all with a limit
+ * @param startsPerSecond task starts per second that users request, in all cells together
+ * @param seed seed of all random numbers; cell {@code i} uses {@code seed + i}
  */
 public record ScaleSettings(
     int cells,
@@ -34,52 +36,60 @@
   private static final int MAX_WORKERS = 50_000;
   private static final int MAX_CONTROLLERS = 100;
   private static final double MAX_RATE = 1e5;
-  private static final double MAX_S = 3600;
+  private static final double MAX_SECONDS = 3600;
 
   /**
-   * Phases of a run.
+   * Durations of the phases of a run.
    *
-   * @param warmUp until the cell is full
-   * @param measured what the figures are taken from
-   * @param drain without new jobs, so that each accepted one can be asked about
+   * @param warmUp time to fill the cell
+   * @param measured phase from which the figures are taken
+   * @param drain phase without new jobs, in which users get a response about each accepted job
    */
   public record Timeline(Duration warmUp, Duration measured, Duration drain) {
-    /** From the first submission to the last question, without faults. */
-    public Duration whole() {
+    /** Time from the first submission to the last status request, without faults. */
+    public Duration total() {
       return warmUp.plus(measured).plus(drain);
     }
   }
 
   /**
-   * What fails in the first cell after the measured phase; none where {@code lasts} is zero.
+   * Faults in the first cell after the measured phase; none if {@code duration} is zero.
    *
-   * @param rack so many machines of one zone die at once
-   * @param restartEvery the controllers are killed one after the other, so far apart
+   * @param duration length of the phase with faults
+   * @param rackSize number of machines of one zone that are killed at once
+   * @param restartInterval time between the end of one controller's restart and the next kill
    */
-  public record Faults(Duration lasts, int rack, Duration restartEvery) {}
+  public record Faults(Duration duration, int rackSize, Duration restartInterval) {}
 
-  /** What the workers keep to, as in the platform's settings. */
+  /** Intervals and time limits of workers, as in the platform's settings. */
   public record WorkerTimes(
-      Duration report, Duration lease, Duration gangWait, Duration gangPeer, Duration cancel) {}
+      Duration reportInterval,
+      Duration lease,
+      Duration gangWait,
+      Duration gangPeerTimeout,
+      Duration cancelLimit) {}
 
   /** Limits of each cell's state service. */
   public record StateService(double rps, double writeRps, double valueKb, int txnOps) {}
 
-  /** Limits of each cell's cloud interface, and how long its machines boot. */
-  public record Cloud(double rps, Duration listLag, Duration boot) {}
+  /** Limits of each cell's cloud interface, and the boot time of its machines. */
+  public record Cloud(double rps, Duration listLag, Duration bootTime) {}
 
+  /** The settings with the default of every key. */
   public static ScaleSettings defaults() {
     try {
       return read(TomlTable.parse("defaults", ""));
     } catch (SettingsException e) {
-      throw new IllegalStateException("the defaults are within their own bounds", e);
+      throw new IllegalStateException("a default setting is out of bounds", e);
     }
   }
 
+  /** Reads a TOML file; an error names the key or the file. */
   public static ScaleSettings load(Path file) throws SettingsException {
     return read(TomlTable.load(file));
   }
 
+  /** Reads TOML text; an error names the key. */
   public static ScaleSettings parse(String text) throws SettingsException {
     return read(TomlTable.parse("scale settings", text));
   }
@@ -100,19 +110,19 @@
             root.numberOr("starts_per_s", 890, 0.01, MAX_RATE),
             root.integerOr("seed", 1, 0, Integer.MAX_VALUE),
             new Timeline(
-                times.secondsOr("warm_up_s", 60, 1, MAX_S),
-                times.secondsOr("measured_s", 45, 1, MAX_S),
-                times.secondsOr("drain_s", 15, 1, MAX_S)),
+                times.secondsOr("warm_up_s", 60, 1, MAX_SECONDS),
+                times.secondsOr("measured_s", 45, 1, MAX_SECONDS),
+                times.secondsOr("drain_s", 15, 1, MAX_SECONDS)),
             new Faults(
-                faults.secondsOr("lasts_s", 0, 0, MAX_S),
+                faults.secondsOr("lasts_s", 0, 0, MAX_SECONDS),
                 faults.integerOr("rack", 40, 0, MAX_WORKERS),
-                faults.secondsOr("restart_every_s", 10, 1, MAX_S)),
+                faults.secondsOr("restart_every_s", 10, 1, MAX_SECONDS)),
             new WorkerTimes(
-                workers.secondsOr("report_s", 5, 0.5, MAX_S),
-                workers.secondsOr("lease_s", 36, 1, MAX_S),
-                workers.secondsOr("gang_wait_s", 40, 1, MAX_S),
-                workers.secondsOr("gang_peer_s", 6, 1, MAX_S),
-                workers.secondsOr("cancel_s", 61, 1, MAX_S)),
+                workers.secondsOr("report_s", 5, 0.5, MAX_SECONDS),
+                workers.secondsOr("lease_s", 36, 1, MAX_SECONDS),
+                workers.secondsOr("gang_wait_s", 40, 1, MAX_SECONDS),
+                workers.secondsOr("gang_peer_s", 6, 1, MAX_SECONDS),
+                workers.secondsOr("cancel_s", 61, 1, MAX_SECONDS)),
             new StateService(
                 state.numberOr("rps", 700, 1, MAX_RATE),
                 state.numberOr("write_rps", 70, 1, MAX_RATE),
@@ -120,13 +130,13 @@
                 state.integerOr("txn_ops", 16, 2, 1000)),
             new Cloud(
                 cloud.numberOr("rps", 4, 0.1, MAX_RATE),
-                cloud.secondsOr("list_lag_s", 3, 0, MAX_S),
-                cloud.secondsOr("boot_s", 30, 0, MAX_S)));
-    settings.check();
+                cloud.secondsOr("list_lag_s", 3, 0, MAX_SECONDS),
+                cloud.secondsOr("boot_s", 30, 0, MAX_SECONDS)));
+    settings.validate();
     return settings;
   }
 
-  private void check() throws SettingsException {
+  private void validate() throws SettingsException {
     if (controllers < cells) {
       throw new SettingsException("controllers: fewer than cells");
     }
@@ -135,7 +145,7 @@
     }
   }
 
-  /** The settings of one cell alone; only the first has faults. */
+  /** The settings of a single cell; only the first cell has faults. */
   public ScaleSettings cell(int index) {
     return new ScaleSettings(
         1,
@@ -146,19 +156,19 @@
         startsPerSecond / cells,
         seed + index,
         timeline,
-        index == 0 ? faults : new Faults(Duration.ZERO, 0, faults.restartEvery()),
+        index == 0 ? faults : new Faults(Duration.ZERO, 0, faults.restartInterval()),
         workerTimes,
         state,
         cloud);
   }
 
-  /** The first cells have one more where a number is not a multiple of the cells. */
-  private int share(int all, int index) {
-    return all / cells + (index < all % cells ? 1 : 0);
+  /** Divides a number among the cells; the first cells get one more if it isn't a multiple. */
+  private int share(int total, int index) {
+    return total / cells + (index < total % cells ? 1 : 0);
   }
 
-  /** The same with other sizes, as the command line gives them; null leaves one as it is. */
-  public ScaleSettings sized(
+  /** A copy with the sizes given on the command line; null keeps a size. */
+  public ScaleSettings withSizes(
       Integer newCells, Integer newWorkers, Integer newControllers, Double newStarts)
       throws SettingsException {
     ScaleSettings sized =
@@ -178,7 +188,7 @@
     return parse(sized.toToml());
   }
 
-  /** As a settings file, for the process of a cell. */
+  /** The settings as TOML, written to a file for the process of a cell. */
   public String toToml() {
     return String.join(
         "\n",
@@ -194,15 +204,15 @@
         "measured_s = " + seconds(timeline.measured),
         "drain_s = " + seconds(timeline.drain),
         "[faults]",
-        "lasts_s = " + seconds(faults.lasts),
-        "rack = " + faults.rack,
-        "restart_every_s = " + seconds(faults.restartEvery),
+        "lasts_s = " + seconds(faults.duration),
+        "rack = " + faults.rackSize,
+        "restart_every_s = " + seconds(faults.restartInterval),
         "[worker_times]",
-        "report_s = " + seconds(workerTimes.report),
+        "report_s = " + seconds(workerTimes.reportInterval),
         "lease_s = " + seconds(workerTimes.lease),
         "gang_wait_s = " + seconds(workerTimes.gangWait),
-        "gang_peer_s = " + seconds(workerTimes.gangPeer),
-        "cancel_s = " + seconds(workerTimes.cancel),
+        "gang_peer_s = " + seconds(workerTimes.gangPeerTimeout),
+        "cancel_s = " + seconds(workerTimes.cancelLimit),
         "[state]",
         "rps = " + state.rps,
         "write_rps = " + state.writeRps,
@@ -211,7 +221,7 @@
         "[cloud]",
         "rps = " + cloud.rps,
         "list_lag_s = " + seconds(cloud.listLag),
-        "boot_s = " + seconds(cloud.boot),
+        "boot_s = " + seconds(cloud.bootTime),
         "");
   }
 
--- a/src/main/java/io/tansystack/emulator/ScaleTable.java
+++ b/src/main/java/io/tansystack/emulator/ScaleTable.java
@@ -3,15 +3,16 @@
 import io.tansystack.emulator.ScaleResult.ClassResult;
 import io.tansystack.emulator.ScaleResult.RoleResult;
 
-/** A scale run's result as lines for a terminal. */
+/** Formats the result of a scale run as text for a terminal. */
 public final class ScaleTable {
   private ScaleTable() {}
 
+  /** The result as lines, each ended by a line feed. */
   public static String of(ScaleResult result) {
     StringBuilder text = new StringBuilder();
     line(
         text,
-        "%d cells, %d workers (%d at the end), %d controllers, %.0f s, %.0f MB in all",
+        "%d cells, %d workers (%d at the end), %d controllers, %.0f s, %.0f MB in total",
         result.cells(),
         result.workers(),
         result.alive(),
@@ -20,26 +21,26 @@
         result.memoryMb());
     line(
         text,
-        "starts a second: %.1f of %.1f wanted; %d tasks on workers at the end, %d lost",
+        "task starts per second: %.1f of %.1f requested; %d tasks on workers at the end, %d lost",
         result.startsPerSecond(),
         result.wantedPerSecond(),
         result.running(),
         result.lostTasks());
     line(
         text,
-        "submissions: %d jobs, accepted after %d ms at p50 and %d ms at p99, %d refusals",
+        "submissions: %d jobs, accepted after %d ms (p50) and %d ms (p99), %d rejected",
         result.submissions().jobs(),
         result.submissions().acceptedMsP50(),
         result.submissions().acceptedMsP99(),
         result.submissions().refused());
-    for (ClassResult job : result.classes()) {
+    for (ClassResult jobClass : result.classes()) {
       line(
           text,
-          "  %-10s begun %.3f, waits %d ms at p50 and %d ms at p99",
-          job.name(),
-          job.begun(),
-          job.waitMsP50(),
-          job.waitMsP99());
+          "  %-10s share of jobs started %.3f, wait %d ms (p50) and %d ms (p99)",
+          jobClass.name(),
+          jobClass.begun(),
+          jobClass.waitMsP50(),
+          jobClass.waitMsP99());
     }
     for (RoleResult role : result.roles()) {
       line(
@@ -54,21 +55,24 @@
     }
     line(
         text,
-        "state service: %d keys, %.0f KB; %.1f requests, %.1f writes, %.2f refusals a second",
+        "state service: %d keys, %.0f KB; per second %.1f requests, %.1f writes, %.2f rejected",
         result.store().keys(),
         result.store().valueKb(),
         result.store().requestsPerSecond(),
         result.store().writesPerSecond(),
         result.store().refusedPerSecond());
-    result.store().writesByKind().forEach((kind, rate) -> line(text, "  %-14s %.1f writes a second", kind, rate));
+    result
+        .store()
+        .writesByKind()
+        .forEach((kind, rate) -> line(text, "  %-14s %.1f writes per second", kind, rate));
     line(
         text,
-        "a worker: %.3f reports, %.3f commands, %.0f bytes a second",
+        "per worker and second: %.3f reports, %.3f commands, %.0f bytes",
         result.workerTraffic().reportsPerSecond(),
         result.workerTraffic().commandsPerSecond(),
         result.workerTraffic().bytesPerSecond());
-    line(text, "rules broken: %d", result.brokenCount());
-    result.broken().forEach(what -> line(text, "  %s", what));
+    line(text, "rule violations: %d", result.brokenCount());
+    result.broken().forEach(violation -> line(text, "  %s", violation));
     return text.toString();
   }
 
--- a/src/main/java/io/tansystack/emulator/StoreLimits.java
+++ b/src/main/java/io/tansystack/emulator/StoreLimits.java
@@ -1,18 +1,19 @@
 package io.tansystack.emulator;
 
 /**
- * What the state service carries out; more is refused with 429.
+ * Limits of the emulated state service; requests over a rate limit are answered with 429. Both
+ * rates allow bursts of one second's worth.
  *
- * @param requestsPerSecond requests; bursts of one second's worth are allowed
- * @param writesPerSecond puts and deletes, those of transactions whose conditions fail included
- * @param pageSize items in one answer to a list
+ * @param requestsPerSecond requests of all kinds
+ * @param writesPerSecond puts and deletes, including those of transactions whose conditions fail
+ * @param pageSize items in one response to a list request
  */
 public record StoreLimits(double requestsPerSecond, double writesPerSecond, int pageSize) {
-  /** The protocol's limit for one page. */
-  public static final int MAX_PAGE = 1000;
+  /** The protocol's limit for the number of items in a page. */
+  public static final int MAX_PAGE_SIZE = 1000;
 
-  /** No limits, and pages so small that a copy is loaded from many. */
-  public static StoreLimits none() {
+  /** No rate limits, and pages so small that loading the cluster state takes many of them. */
+  public static StoreLimits unlimited() {
     return new StoreLimits(Double.MAX_VALUE, Double.MAX_VALUE, 5);
   }
 
@@ -24,7 +25,7 @@
     return new StoreLimits(requestsPerSecond, perSecond, pageSize);
   }
 
-  public StoreLimits withPages(int items) {
+  public StoreLimits withPageSize(int items) {
     return new StoreLimits(requestsPerSecond, writesPerSecond, items);
   }
 }
--- a/src/main/java/io/tansystack/emulator/TaskTimes.java
+++ b/src/main/java/io/tansystack/emulator/TaskTimes.java
@@ -10,14 +10,14 @@
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
 
-/** Starts of tasks, and how long jobs waited for their first; safe for use by several threads. */
+/** Counts task starts, and records how long jobs waited for their first one. Thread-safe. */
 final class TaskTimes {
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   private final Supplier<Duration> clock;
-  private final Map<String, Duration> submitted = new HashMap<>();
-  private final Set<String> begun = new HashSet<>();
-  private final Map<String, Histogram> waits = new HashMap<>();
+  private final Map<String, Duration> submissionTimes = new HashMap<>();
+  private final Set<String> startedJobs = new HashSet<>();
+  private final Map<String, Histogram> waitsByClass = new HashMap<>();
   private long starts;
   private boolean recording;
 
@@ -25,40 +25,42 @@
     this.clock = clock;
   }
 
-  /** From now on waits are kept: of jobs that are submitted from here on. */
-  synchronized void record(boolean on) {
+  /** Switches recording on or off; waits are recorded for jobs submitted while it is on. */
+  synchronized void setRecording(boolean on) {
     recording = on;
   }
 
-  synchronized void submitted(JobSpec spec) {
+  synchronized void jobSubmitted(JobSpec spec) {
     if (recording) {
-      submitted.put(spec.id(), clock.get());
+      submissionTimes.put(spec.id(), clock.get());
     }
   }
 
-  synchronized void began(JobSpec spec, TaskId task) {
+  /** Counts a start; {@code spec} is null for an unknown job, whose wait is not recorded. */
+  synchronized void taskStarted(JobSpec spec, TaskId task) {
     starts++;
-    if (spec != null && begun.add(spec.id())) {
-      Duration at = submitted.remove(spec.id());
-      if (at != null) {
-        waits
-            .computeIfAbsent(spec.jobClass(), k -> new Histogram(DIGITS))
-            .recordValue(Math.max(0, clock.get().minus(at).toMillis()));
+    if (spec != null && startedJobs.add(spec.id())) {
+      Duration submittedAt = submissionTimes.remove(spec.id());
+      if (submittedAt != null) {
+        waitsByClass
+            .computeIfAbsent(spec.jobClass(), k -> new Histogram(SIGNIFICANT_DIGITS))
+            .recordValue(Math.max(0, clock.get().minus(submittedAt).toMillis()));
       }
     }
   }
 
+  /** Number of task starts so far, whether recording is on or off. */
   synchronized long starts() {
     return starts;
   }
 
-  synchronized boolean hasBegun(String job) {
-    return begun.contains(job);
+  synchronized boolean hasStarted(String job) {
+    return startedJobs.contains(job);
   }
 
-  /** Milliseconds at a percentile; -1 where no job of the class has begun. */
+  /** Wait in milliseconds at a percentile; -1 if no recorded job of the class has started. */
   synchronized long waitMs(String jobClass, double percentile) {
-    Histogram histogram = waits.get(jobClass);
+    Histogram histogram = waitsByClass.get(jobClass);
     return histogram == null ? -1 : histogram.getValueAtPercentile(percentile);
   }
 }
--- a/src/main/java/io/tansystack/emulator/TokenBucket.java
+++ b/src/main/java/io/tansystack/emulator/TokenBucket.java
@@ -2,37 +2,38 @@
 
 import java.time.Duration;
 
-/** A rate limit that allows bursts of one second's worth. */
+/** A rate limiter that allows bursts of one second's worth of tokens. */
 final class TokenBucket {
   private double perSecond;
-  private double level;
+  private double available;
   private Duration refilledAt;
 
   TokenBucket(double perSecond, Duration now) {
     this.perSecond = perSecond;
-    this.level = perSecond;
+    this.available = perSecond;
     this.refilledAt = now;
   }
 
-  void rate(double newPerSecond, Duration now) {
+  /** Changes the rate; tokens above one second's worth at the new rate are discarded. */
+  void setRate(double newPerSecond, Duration now) {
     refill(now);
     perSecond = newPerSecond;
-    level = Math.min(level, newPerSecond);
+    available = Math.min(available, newPerSecond);
   }
 
   private void refill(Duration now) {
-    double passedS = now.minus(refilledAt).toNanos() / 1e9;
+    double elapsedS = now.minus(refilledAt).toNanos() / 1e9;
     refilledAt = now;
-    level = Math.min(perSecond, level + passedS * perSecond);
+    available = Math.min(perSecond, available + elapsedS * perSecond);
   }
 
-  /** Takes so many, or nothing if there are fewer. */
-  boolean take(int count, Duration now) {
+  /** Takes {@code count} tokens, or none and returns false if fewer are available. */
+  boolean tryTake(int count, Duration now) {
     refill(now);
-    if (level < count) {
+    if (available < count) {
       return false;
     }
-    level -= count;
+    available -= count;
     return true;
   }
 }
--- a/src/main/java/io/tansystack/emulator/TrafficCounters.java
+++ b/src/main/java/io/tansystack/emulator/TrafficCounters.java
@@ -1,12 +1,12 @@
 package io.tansystack.emulator;
 
-/** Messages of all hollow workers of a cell, and their bytes with headers, both ways together. */
+/** Messages of all emulated workers of a cell, and their bytes in both directions, with headers. */
 final class TrafficCounters {
-  /** A request's line and headers, as Undertow's client writes them for these paths. */
+  /** Size of request line and headers, as Undertow's client writes them for these paths. */
   static final int REQUEST_HEADER_BYTES = 108;
 
-  /** An answer's line and headers. */
-  static final int ANSWER_HEADER_BYTES = 92;
+  /** Size of status line and headers of a response. */
+  static final int RESPONSE_HEADER_BYTES = 92;
 
   long reports;
   long reportBytes;
--- a/src/main/java/io/tansystack/emulator/WorkerEnvironment.java
+++ b/src/main/java/io/tansystack/emulator/WorkerEnvironment.java
@@ -5,54 +5,54 @@
 import io.tansystack.wire.TaskId;
 import java.time.Duration;
 
-/** What emulated workers take from the cluster around them, and what they tell it. */
+/** Supplies emulated workers with job data and durations, and receives their events. */
 public interface WorkerEnvironment {
   EventLoop loop();
 
-  /** The description that the job's user uploaded; null if nobody did. */
-  JobSpec description(String job);
+  /** The specification that the user submitted for the job; null if the job is unknown. */
+  JobSpec jobSpec(String job);
 
-  /** How long the machine takes to fetch the job's image; zero if it has it. */
+  /** Time that the machine needs to fetch the job's image; zero if it has the image. */
   Duration fetchTime(EmulatedWorker worker, String job);
 
-  /** How long the task runs. */
+  /** Run time of the task. */
   Duration runTime(TaskId task);
 
-  /** How long a task takes to save when it is stopped; zero for one that never saves. */
+  /** Time that a task takes to save its state when it is stopped; zero if it never saves. */
   Duration saveTime();
 
-  /** For how long a task of a gang waits for the others. */
+  /** Time for which a task of a gang waits for the others before it exits. */
   Duration gangWait();
 
-  /** After how long the tasks of a gang notice that one of them is gone. */
+  /** Time after which the tasks of a gang notice that one of them is lost. */
   Duration gangPeerTimeout();
 
-  /** Whether a launch is refused for want of room although there is some. */
+  /** Whether the next start is rejected for lack of capacity although there is enough. */
   default boolean refusesLaunch() {
     return false;
   }
 
-  /** How many tasks start together; 0 for a job whose tasks are independent. */
+  /** Number of tasks of a gang, which start together; 0 if the job's tasks are independent. */
   int gangSize(String job);
 
-  /** Whether the task has completed on some machine: started again, it ends with its image. */
+  /** Whether the task completed on any machine; if started again, it ends once it has its image. */
   boolean hasCompleted(TaskId task);
 
-  /** A launch was accepted. */
-  default void launched(EmulatedWorker worker, TaskId task) {}
+  /** A start command was accepted. */
+  default void onLaunched(EmulatedWorker worker, TaskId task) {}
 
-  /** The task has its image: from now on it counts as being on the machine. */
-  default void began(EmulatedWorker worker, TaskId task) {}
+  /** The task has its image; from now on it counts as running on the machine. */
+  default void onStarted(EmulatedWorker worker, TaskId task) {}
 
-  /** A task that had begun is no longer on the machine. */
-  default void ended(EmulatedWorker worker, TaskId task) {}
+  /** A task that had started is no longer on the machine. */
+  default void onEnded(EmulatedWorker worker, TaskId task) {}
 
   /** The task has completed; its worker's next report shows it. */
-  void completed(TaskId task);
+  void onCompleted(TaskId task);
 
-  /** As {@link #completed}, once the worker's state shows it; of independent tasks alone. */
-  default void completionReported(EmulatedWorker worker, TaskId task) {}
+  /** Like {@link #onCompleted}, but after the worker's state shows it; only independent tasks. */
+  default void onCompletionReported(EmulatedWorker worker, TaskId task) {}
 
-  /** Something on the machine is other than before; its next report shows it. */
-  void changed(EmulatedWorker worker);
+  /** The state of the machine has changed; its next report shows the change. */
+  void onChanged(EmulatedWorker worker);
 }
--- a/src/main/java/io/tansystack/emulator/WorkloadGenerator.java
+++ b/src/main/java/io/tansystack/emulator/WorkloadGenerator.java
@@ -12,9 +12,9 @@
 import java.util.stream.IntStream;
 
 /**
- * The jobs of a scale run, drawn from a seed: arrays of the lowest priority, training in gangs of
- * up to 256, short urgent arrays, and services, in a mix whose mean run time keeps as many tasks
- * running as the planned size has.
+ * Generates the jobs of a scale run from a seed: arrays of the lowest priority, training gangs of
+ * up to 256 tasks, short urgent arrays, and services. The mean run time of the mix is such that as
+ * many tasks are running as planned for the full size.
  */
 final class WorkloadGenerator {
   static final String BATCH = "batch";
@@ -24,94 +24,95 @@
 
   static final List<String> CLASSES = List.of(BATCH, TRAINING, URGENT, FRONTEND);
 
-  private static final int IMAGES = 6;
+  private static final int IMAGES_PER_CLASS = 6;
 
-  /** How many of 42 gangs have so many tasks. */
-  private static final Map<Integer, Integer> GANGS =
+  /** Distribution of gang sizes: number of tasks, and how many of 42 gangs have that size. */
+  private static final Map<Integer, Integer> GANG_SIZE_WEIGHTS =
       new TreeMap<>(Map.of(2, 10, 4, 10, 8, 10, 16, 6, 32, 4, 64, 1, 256, 1));
 
-  /** Tasks of larger gangs take one accelerator each, others half a machine. */
-  private static final int LARGE_GANG = 64;
+  /** Gangs of at least this size use 1 accelerator per task, smaller ones 4 (half a machine). */
+  private static final int LARGE_GANG_TASKS = 64;
 
-  /** A drawn job, and after how long its user cancels it; null for never. */
+  /** A generated job, and the time after which its user cancels it; null if never. */
   record GeneratedJob(JobSpec spec, Duration cancelAfter) {}
 
-  /** The part of all starts that belongs to a class. */
-  private static final Map<String, Double> SHARES =
+  /** Share of each class in all task starts. */
+  private static final Map<String, Double> START_SHARES =
       Map.of(BATCH, 0.72, TRAINING, 0.13, URGENT, 0.12, FRONTEND, 0.03);
 
-  private static final int LEAST_BATCH = 20;
-  private static final int MOST_BATCH = 200;
-  private static final int MOST_URGENT = 12;
-  private static final int MOST_REPLICAS = 6;
+  private static final int MIN_BATCH_TASKS = 20;
+  private static final int MAX_BATCH_TASKS = 200;
+  private static final int MAX_URGENT_TASKS = 12;
+  private static final int MAX_REPLICAS = 6;
 
-  /** A cell with fewer workers has smaller gangs. */
+  /** A gang has at most one task per this many workers of the cell, and at least two tasks. */
   private static final int WORKERS_PER_GANG_TASK = 8;
 
   private final Random random;
   private final int teams;
   private final double startsPerSecond;
-  private final int mostBatch;
+  private final int maxBatchTasks;
   private final int[] gangSizes;
-  private int made;
+  private int jobCount;
 
   WorkloadGenerator(long seed, int teams, double startsPerSecond, int workers) {
     this.random = new Random(seed);
     this.teams = teams;
     this.startsPerSecond = startsPerSecond;
-    this.mostBatch = Math.max(2, Math.min(MOST_BATCH, workers));
-    int mostGang = Math.max(2, workers / WORKERS_PER_GANG_TASK);
+    this.maxBatchTasks = Math.max(2, Math.min(MAX_BATCH_TASKS, workers));
+    int maxGangTasks = Math.max(2, workers / WORKERS_PER_GANG_TASK);
     this.gangSizes =
-        GANGS.entrySet().stream()
-            .filter(gang -> gang.getKey() <= mostGang)
+        GANG_SIZE_WEIGHTS.entrySet().stream()
+            .filter(gang -> gang.getKey() <= maxGangTasks)
             .flatMapToInt(gang -> IntStream.generate(gang::getKey).limit(gang.getValue()))
             .toArray();
   }
 
-  private int leastBatch() {
-    return Math.min(LEAST_BATCH, mostBatch / 2);
+  private int minBatchTasks() {
+    return Math.min(MIN_BATCH_TASKS, maxBatchTasks / 2);
   }
 
   private double meanTasks(String jobClass) {
     return switch (jobClass) {
-      case BATCH -> (leastBatch() + mostBatch) / 2.0;
+      case BATCH -> (minBatchTasks() + maxBatchTasks) / 2.0;
       case TRAINING -> Arrays.stream(gangSizes).average().orElse(1);
-      case URGENT -> (1 + MOST_URGENT) / 2.0;
-      default -> (2 + MOST_REPLICAS) / 2.0;
+      case URGENT -> (1 + MAX_URGENT_TASKS) / 2.0;
+      default -> (2 + MAX_REPLICAS) / 2.0;
     };
   }
 
-  /** How long until the next job of a class comes: the mean time between two, give or take a half. */
-  Duration untilNext(String jobClass) {
-    double jobsPerSecond = startsPerSecond * SHARES.get(jobClass) / meanTasks(jobClass);
+  /** Random time until the next job of a class arrives: 0.5 to 1.5 times the mean interval. */
+  Duration timeToNext(String jobClass) {
+    double jobsPerSecond = startsPerSecond * START_SHARES.get(jobClass) / meanTasks(jobClass);
     double seconds = (0.5 + random.nextDouble()) / jobsPerSecond;
     return Duration.ofMillis((long) (seconds * 1000));
   }
 
-  GeneratedJob draw(String jobClass) {
-    String id = "wk-" + (1_000_000 + made++ * 37L % 999_983);
+  /** Generates the next job of a class, with a random team, image and size. */
+  GeneratedJob generate(String jobClass) {
+    String id = "wk-" + (1_000_000 + jobCount++ * 37L % 999_983);
     String team = teamName(random.nextInt(teams));
-    String image = jobClass + "-" + random.nextInt(IMAGES);
+    String image = jobClass + "-" + random.nextInt(IMAGES_PER_CLASS);
     return switch (jobClass) {
       case BATCH ->
-          drawn(
+          job(
               id, team, image, JobKind.ARRAY, Priority.LOW,
-              uniform(leastBatch(), mostBatch), 4, 0, 8, 60);
+              uniform(minBatchTasks(), maxBatchTasks), 4, 0, 8, 60);
       case TRAINING -> {
         int tasks = gangSizes[random.nextInt(gangSizes.length)];
-        int gpus = tasks >= LARGE_GANG ? 1 : 4;
+        int gpus = tasks >= LARGE_GANG_TASKS ? 1 : 4;
         double cpus = 7.0 * gpus;
-        yield drawn(
+        yield job(
             id, team, image, JobKind.GANG, Priority.NORMAL, tasks, cpus, gpus, 50 * gpus, 100);
       }
       case URGENT ->
-          drawn(
+          job(
               id, team, image, JobKind.ARRAY, Priority.HIGH,
-              uniform(1, MOST_URGENT), 2, 0, 4, 20);
+              uniform(1, MAX_URGENT_TASKS), 2, 0, 4, 20);
       default ->
-          drawn(
+          job(
               id, team, image, JobKind.SERVICE, Priority.PRODUCTION,
-              uniform(2, MOST_REPLICAS), 2, 0, 4, 0);
+              uniform(2, MAX_REPLICAS), 2, 0, 4, 0);
     };
   }
 
@@ -119,15 +120,15 @@
     return "team-" + index;
   }
 
-  private int uniform(int least, int most) {
-    return least + random.nextInt(most - least + 1);
+  private int uniform(int min, int max) {
+    return min + random.nextInt(max - min + 1);
   }
 
-  private GeneratedJob drawn(
+  private GeneratedJob job(
       String id,
       String team,
       String image,
-      JobKind shape,
+      JobKind kind,
       Priority priority,
       int tasks,
       double cpus,
@@ -135,14 +136,14 @@
       double memGb,
       double estimateS) {
     String jobClass = image.substring(0, image.indexOf('-'));
-    boolean gang = shape == JobKind.GANG;
-    boolean service = shape == JobKind.SERVICE;
+    boolean gang = kind == JobKind.GANG;
+    boolean service = kind == JobKind.SERVICE;
     JobSpec spec =
         new JobSpec(
-            id, jobClass, team, shape, priority, tasks, cpus, gpus, memGb, image, 1.5, null, null,
+            id, jobClass, team, kind, priority, tasks, cpus, gpus, memGb, image, 1.5, null, null,
             gang, service, false, estimateS, gang ? 20 : 0, gang ? 3 : 0, null);
-    boolean cancels = service || random.nextInt(20) == 0;
-    Duration cancelAfter = cancels ? Duration.ofSeconds(uniform(5, service ? 150 : 40)) : null;
+    boolean cancelled = service || random.nextInt(20) == 0;
+    Duration cancelAfter = cancelled ? Duration.ofSeconds(uniform(5, service ? 150 : 40)) : null;
     return new GeneratedJob(spec, cancelAfter);
   }
 }
--- a/src/test/java/io/tansystack/emulator/EmulatedStoreTest.java
+++ b/src/test/java/io/tansystack/emulator/EmulatedStoreTest.java
@@ -13,10 +13,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the emulated state service answers beyond what the simulated cluster already relies on. */
+/** Tests responses of the emulated state service that the simulated cluster does not rely on. */
 class EmulatedStoreTest {
   private final SimEventLoop loop = new SimEventLoop();
-  private final EmulatedStore store = new EmulatedStore(loop, StoreLimits.none(), () -> false);
+  private final EmulatedStore store = new EmulatedStore(loop, StoreLimits.unlimited(), () -> false);
 
   private int put(String key, long version) throws Exception {
     byte[] body =
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void aWatchIsToldOfAllThatCameAfter() throws Exception {
+  void watchReturnsAllLaterChangesUnderThePrefix() throws Exception {
     put("ts/a", 0);
     put("other/b", 0);
     put("ts/c", 0);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void whatIsTooOldToWatchIsAnswered410() throws Exception {
+  void watchFromADiscardedRevisionIsAnswered410() throws Exception {
     put("ts/first", 0);
     for (int i = 0; i < 20_001; i++) {
       put("ts/" + i, 0);
@@ -52,8 +52,8 @@
   }
 
   @Test
-  void writesOverTheLimitAreRefused() throws Exception {
-    store.limits(StoreLimits.none().withWrites(3));
+  void writesOverTheLimitAreRejected() throws Exception {
+    store.limits(StoreLimits.unlimited().withWrites(3));
     loop.runFor(Duration.ofSeconds(5));
     List<Integer> answers = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -61,7 +61,7 @@
     }
     assertEquals(List.of(200, 200, 200, 429), answers);
     loop.runFor(Duration.ofSeconds(1));
-    assertEquals(409, put("ts/0", 0), "a condition that does not hold is told as such");
-    assertEquals(1, store.refused());
+    assertEquals(409, put("ts/0", 0), "a failed condition is answered with 409, not with 429");
+    assertEquals(1, store.rejected());
   }
 }
--- a/src/test/java/io/tansystack/emulator/RuleCheckerTest.java
+++ b/src/test/java/io/tansystack/emulator/RuleCheckerTest.java
@@ -14,16 +14,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each rule is found broken where it is, and not where it isn't. */
+/**
+ * Checks that each rule's violation is reported when it occurs, and only then. A missed violation
+ * would let a faulty scale run pass; a false one would fail a correct run.
+ */
 class RuleCheckerTest {
   private static final String JOB = "wk-000001";
 
-  private final RuleChecker judge = new RuleChecker(Map.of("team", new Limit(4, 0)));
+  private final RuleChecker ruleChecker = new RuleChecker(Map.of("team", new Limit(4, 0)));
 
   @BeforeEach
   void submit() {
-    judge.submitted(spec(JOB));
-    judge.accepted(JOB);
+    ruleChecker.jobSubmitted(spec(JOB));
+    ruleChecker.jobAccepted(JOB);
   }
 
   private static JobSpec spec(String id) {
@@ -38,72 +41,74 @@
 
   @ParameterizedTest
   @CsvSource({"false,0", "true,1"})
-  void aTaskOnTwoMachinesRanTwice(boolean before, int breaches) {
-    judge.began("n-1", task(0));
-    if (!before) {
-      judge.ended("n-1", task(0));
+  void taskOnTwoMachinesIsAViolation(boolean concurrent, int violations) {
+    ruleChecker.taskStarted("n-1", task(0));
+    if (!concurrent) {
+      ruleChecker.taskEnded("n-1", task(0));
     }
-    judge.began("n-2", task(0));
-    assertEquals(breaches, judge.brokenCount(), judge.broken().toString());
+    ruleChecker.taskStarted("n-2", task(0));
+    assertEquals(violations, ruleChecker.violationCount(), ruleChecker.violations().toString());
   }
 
   @Test
-  void anEndElsewhereIsNoEndHere() {
-    judge.began("n-1", task(0));
-    judge.ended("n-2", task(0));
-    judge.began("n-2", task(0));
-    assertTrue(judge.broken().get(0).startsWith("ran_twice"), judge.broken().toString());
+  void endOnAnotherMachineIsIgnored() {
+    ruleChecker.taskStarted("n-1", task(0));
+    ruleChecker.taskEnded("n-2", task(0));
+    ruleChecker.taskStarted("n-2", task(0));
+    assertTrue(
+        ruleChecker.violations().get(0).startsWith("ran_twice"),
+        ruleChecker.violations().toString());
   }
 
   @ParameterizedTest
   @CsvSource({"2,0", "3,1"})
-  void aTeamOverItsLimitBreaksTheQuota(int tasks, int breaches) {
+  void teamOverItsLimitViolatesTheQuota(int tasks, int violations) {
     for (int i = 0; i < tasks; i++) {
-      judge.began("n-" + i, task(i));
+      ruleChecker.taskStarted("n-" + i, task(i));
     }
-    assertEquals(breaches, judge.brokenCount(), judge.broken().toString());
+    assertEquals(violations, ruleChecker.violationCount(), ruleChecker.violations().toString());
   }
 
   @Test
-  void whatEndsComesOffTheQuota() {
+  void endedTasksReleaseTheQuota() {
     for (int i = 0; i < 10; i++) {
-      judge.began("n-1", task(i));
-      judge.ended("n-1", task(i));
+      ruleChecker.taskStarted("n-1", task(i));
+      ruleChecker.taskEnded("n-1", task(i));
     }
-    assertEquals(0, judge.brokenCount());
-    assertEquals(0, judge.running());
+    assertEquals(0, ruleChecker.violationCount());
+    assertEquals(0, ruleChecker.runningTasks());
   }
 
   @Test
-  void cancelledWorkThatStaysOrStartsIsFound() {
-    judge.began("n-1", task(0));
-    judge.cancelledLongAgo(JOB);
-    assertEquals(1, judge.brokenCount());
-    judge.began("n-1", task(1));
-    assertEquals(2, judge.brokenCount());
+  void tasksOfACancelledJobThatStayOrStartAreViolations() {
+    ruleChecker.taskStarted("n-1", task(0));
+    ruleChecker.cancellationDue(JOB);
+    assertEquals(1, ruleChecker.violationCount());
+    ruleChecker.taskStarted("n-1", task(1));
+    assertEquals(2, ruleChecker.violationCount());
   }
 
   @ParameterizedTest
   @CsvSource({"wk-000001,404,1", "wk-000001,200,0", "wk-000001,503,0", "wk-000002,404,0"})
-  void anAcceptedJobThatNobodyKnowsIsForgotten(String job, int status, int breaches) {
-    judge.answered(job, status);
-    assertEquals(breaches, judge.brokenCount());
+  void notFoundForAnAcceptedJobIsAViolation(String job, int status, int violations) {
+    ruleChecker.jobAnswered(job, status);
+    assertEquals(violations, ruleChecker.violationCount());
   }
 
   @ParameterizedTest
   @CsvSource({"wk-000001,1", "wk-000002,0"})
-  void anAcceptedJobWithoutAnswersIsForgotten(String job, int breaches) {
-    judge.unanswered(job);
-    assertEquals(breaches, judge.brokenCount());
+  void acceptedJobWithoutAnswersIsAViolation(String job, int violations) {
+    ruleChecker.jobUnanswered(job);
+    assertEquals(violations, ruleChecker.violationCount());
   }
 
   @Test
-  void aRunInWhichNothingBeganIsBroken() {
-    judge.atTheEnd();
-    assertEquals(1, judge.brokenCount());
+  void runWithoutAnyStartIsAViolation() {
+    ruleChecker.checkAtEnd();
+    assertEquals(1, ruleChecker.violationCount());
     RuleChecker other = new RuleChecker(Map.of());
-    other.began("n-1", task(0));
-    other.atTheEnd();
-    assertEquals(0, other.brokenCount());
+    other.taskStarted("n-1", task(0));
+    other.checkAtEnd();
+    assertEquals(0, other.violationCount());
   }
 }
--- a/src/test/java/io/tansystack/emulator/ScaleSettingsTest.java
+++ b/src/test/java/io/tansystack/emulator/ScaleSettingsTest.java
@@ -10,9 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Checks the default sizes, the division among cells, and the errors for invalid values. */
 class ScaleSettingsTest {
   @Test
-  void theDefaultsAreThePlannedSize() {
+  void defaultsAreThePlannedSize() {
     ScaleSettings whole = ScaleSettings.defaults();
     assertEquals(7, whole.cells());
     assertEquals(16_000, whole.workers());
@@ -21,7 +22,7 @@
   }
 
   @Test
-  void theCellsShareWhatThereIs() {
+  void cellsShareWorkersAndControllers() {
     ScaleSettings whole = ScaleSettings.defaults();
     int workers = 0;
     int controllers = 0;
@@ -35,7 +36,7 @@
   }
 
   @Test
-  void aCellsFileSaysTheSame() throws SettingsException {
+  void tomlOfACellReadsBackEqual() throws SettingsException {
     ScaleSettings cell = ScaleSettings.defaults().cell(3);
     assertEquals(cell, ScaleSettings.parse(cell.toToml()));
   }
@@ -43,8 +44,8 @@
   @Test
   void onlyTheFirstCellHasFaults() throws SettingsException {
     ScaleSettings settings = ScaleSettings.parse("[faults]\nlasts_s = 60");
-    assertEquals(Duration.ofSeconds(60), settings.cell(0).faults().lasts());
-    assertEquals(Duration.ZERO, settings.cell(1).faults().lasts());
+    assertEquals(Duration.ofSeconds(60), settings.cell(0).faults().duration());
+    assertEquals(Duration.ZERO, settings.cell(1).faults().duration());
   }
 
   @ParameterizedTest
@@ -59,10 +60,11 @@
     "[worker_times]@lease_s = 0.5,worker_times.lease_s",
     "[cloud]@rps = 0,cloud.rps",
   })
-  void anErrorNamesTheKey(String text, String key) {
+  void errorNamesTheKey(String text, String key) {
     SettingsException error =
         assertThrows(
-            SettingsException.class, () -> ScaleSettings.parse(text.replace("@", "\n").replace('\'', '"')));
+            SettingsException.class,
+            () -> ScaleSettings.parse(text.replace("@", "\n").replace('\'', '"')));
     assertTrue(error.getMessage().startsWith(key + ":"), error.getMessage());
   }
 }
--- a/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
+++ b/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
@@ -157,11 +157,11 @@
       heldFor = Duration.ofSeconds(70);
     }
     if (state.equals("saving")) {
-      all.forEach(worker -> worker.noticeS(200.0));
+      all.forEach(worker -> worker.reclaimNoticeS(200.0));
     }
     gap(holder("ts/fleet"), 0, Duration.ofSeconds(2), Duration.ofSeconds(55));
     held = 0;
-    all.forEach(worker -> worker.noticeS(null));
+    all.forEach(worker -> worker.reclaimNoticeS(null));
     users.calm();
     loop.runFor(Duration.ofSeconds(130));
     assertEquals(Set.of(), users.judge().atTheEnd());
@@ -276,7 +276,7 @@
     }
     loop.runFor(Duration.ofSeconds(60));
     inTime("its owner ended");
-    assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTasks()).sum(), "leases that ran out");
+    assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(), "leases that ran out");
     users.calm();
     loop.runFor(Duration.ofSeconds(80));
     assertEquals(Set.of(), users.judge().atTheEnd());
@@ -302,7 +302,7 @@
     }
     loop.runFor(Duration.ofSeconds(70));
     inTime("all away for " + awayS + " s");
-    assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTasks()).sum(), "leases that ran out");
+    assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(), "leases that ran out");
     users.calm();
     loop.runFor(Duration.ofSeconds(80));
     assertEquals(Set.of(), users.judge().atTheEnd());
--- a/src/test/java/io/tansystack/sim/ClusterTest.java
+++ b/src/test/java/io/tansystack/sim/ClusterTest.java
@@ -66,11 +66,11 @@
     loop.runFor(Duration.ofSeconds(2));
     submit("wk-000001", 6);
     loop.runFor(Duration.ofSeconds(20));
-    assertTrue(workers.values().stream().anyMatch(w -> !w.live().isEmpty()));
+    assertTrue(workers.values().stream().anyMatch(w -> !w.liveTasks().isEmpty()));
     ObjectNode[] answer = new ObjectNode[1];
     assertEquals(200, call("POST", "/v1/jobs/wk-000001/abort", new byte[0], answer));
     loop.runFor(Duration.ofSeconds(5));
-    assertTrue(workers.values().stream().allMatch(w -> w.live().isEmpty()));
+    assertTrue(workers.values().stream().allMatch(w -> w.liveTasks().isEmpty()));
     loop.runFor(Duration.ofSeconds(60));
     assertEquals("withdrawn", state("wk-000001"));
   }
--- a/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
@@ -259,7 +259,7 @@
     }
     allIsWell(change);
     int tasks = users().jobs.values().stream().mapToInt(told -> told.spec.tasks()).sum();
-    int lost = workers.values().stream().mapToInt(worker -> worker.lostTasks()).sum();
+    int lost = workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum();
     assertTrue(started.size() <= tasks + lost, started.size() + " starts of " + tasks + ", " + lost + " lost");
     assertEquals(tasks, new HashSet<>(completed).size(), "none is lost and none is done twice");
   }
@@ -285,7 +285,7 @@
         default -> worker.hangUntil(loop.now().plusSeconds(seconds));
       }
     }
-    some.get(0).noticeS(60.0);
+    some.get(0).reclaimNoticeS(60.0);
     loop.runFor(Duration.ofSeconds(1));
     end(holder("ts/fleet"), 60_000);
     loop.runFor(Duration.ofSeconds(2));
@@ -295,7 +295,7 @@
     unheard.clear();
     unhearing.clear();
     loop.runFor(Duration.ofSeconds(60));
-    some.get(0).noticeS(null);
+    some.get(0).reclaimNoticeS(null);
     allIsWell(how + " for " + seconds + " s");
   }
 }
--- a/src/test/java/io/tansystack/sim/FairnessChecker.java
+++ b/src/test/java/io/tansystack/sim/FairnessChecker.java
@@ -57,7 +57,7 @@
     Map<String, double[]> used = new HashMap<>();
     Map<String, Integer> live = new HashMap<>();
     for (EmulatedWorker worker : cluster.workers.values()) {
-      for (String task : worker.live()) {
+      for (String task : worker.liveTasks()) {
         String id = task.substring(0, task.indexOf('/'));
         JobSpec spec = users.jobs.containsKey(id) ? users.jobs.get(id).spec : SimCluster.spec(id, 1);
         live.merge(id, 1, Integer::sum);
@@ -116,8 +116,8 @@
     int together = together(spec);
     Map<String, Integer> fit = new HashMap<>();
     for (EmulatedWorker worker : cluster.workers.values()) {
-      boolean allowed = !worker.isDead() && !worker.hangs() && spec.allows(worker.type().name(), worker.zone(), worker.spot());
-      if (allowed && worker.hasRoomFor(spec)) {
+      boolean allowed = !worker.isDead() && !worker.isHung() && spec.allows(worker.type().name(), worker.zone(), worker.spot());
+      if (allowed && worker.hasCapacityFor(spec)) {
         fit.merge(worker.zone(), 1, Integer::sum); // One task a machine: what is counted is there for certain.
       }
     }
--- a/src/test/java/io/tansystack/sim/FullRestartTest.java
+++ b/src/test/java/io/tansystack/sim/FullRestartTest.java
@@ -76,13 +76,13 @@
   }
 
   private int lost() {
-    return workers.values().stream().mapToInt(worker -> worker.lostTasks()).sum();
+    return workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum();
   }
 
   private void noStorm() {
     check();
     assertEquals(Set.of(), broken);
-    workers.values().forEach(worker -> assertEquals(List.of(), worker.needlessCommands(), worker.name()));
+    workers.values().forEach(worker -> assertEquals(List.of(), worker.redundantCommands(), worker.name()));
   }
 
   private void allIsDoneInTheEnd(int lost) {
@@ -153,7 +153,7 @@
       case "dying" -> {
         loop.runFor(Duration.ofSeconds(1));
         for (EmulatedWorker worker : all.subList(0, Math.min(5, all.size()))) {
-          worker.die();
+          worker.markDead();
           workers.remove(worker.name());
         }
       }
@@ -205,7 +205,7 @@
     loop.runFor(Duration.ofSeconds(60));
     assertTrue(
         workers.values().stream()
-            .flatMap(worker -> worker.live().stream())
+            .flatMap(worker -> worker.liveTasks().stream())
             .noneMatch(task -> task.startsWith(cancelled + "/")),
         what + ": what was cancelled during the start is gone");
     loop.runFor(Duration.ofSeconds(240));
@@ -227,7 +227,7 @@
       }
     }
     store.clear();
-    workers.values().forEach(worker -> worker.die());
+    workers.values().forEach(worker -> worker.markDead());
     workers.clear();
     started.clear();
     completed.clear();
--- a/src/test/java/io/tansystack/sim/HistoryChecker.java
+++ b/src/test/java/io/tansystack/sim/HistoryChecker.java
@@ -91,7 +91,7 @@
     Map<String, double[]> used = new LinkedHashMap<>();
     Set<String> now = new HashSet<>();
     for (EmulatedWorker worker : cluster.workers.values()) {
-      for (String attempt : worker.attempts()) {
+      for (String attempt : worker.liveAttempts()) {
         String task = attempt.substring(0, attempt.indexOf('#'));
         String other = where.put(task, worker.name());
         if (other != null) {
--- a/src/test/java/io/tansystack/sim/HistoryCheckerTest.java
+++ b/src/test/java/io/tansystack/sim/HistoryCheckerTest.java
@@ -73,7 +73,7 @@
     ObjectNode orders = Cbor.map().put("Baton", worker.token()).put("Shift", worker.session());
     orders.putArray("Signals").addObject().put("Aspect", command).put("Wagon", task).put("Departure", 1)
         .put("SlackS", 0);
-    assertEquals(200, worker.commands(orders));
+    assertEquals(200, worker.handleCommands(orders));
   }
 
   /** Two teams, of which the second may use two GPUs and no more than 40 CPUs, like the first. */
@@ -110,7 +110,7 @@
         accepted(job(1, null, false, false));
         start(first, 0);
         start(second, 0);
-        second.die();
+        second.markDead();
       }
       case "wrong_place type" -> {
         accepted(job("wk-000001", "vision", 1, 1, 0, List.of("large"), null, false, false));
@@ -174,7 +174,7 @@
         users.calm();
         for (int i = 0; i < 100; i++) {
           answer("pending");
-          first.keepLease();
+          first.renewLease();
           loop.runFor(Duration.ofSeconds(1));
         }
       }
--- a/src/test/java/io/tansystack/sim/JobArchivalTest.java
+++ b/src/test/java/io/tansystack/sim/JobArchivalTest.java
@@ -62,8 +62,8 @@
     ObjectNode[] answer = new ObjectNode[1];
     assertEquals(200, call("POST", "/v1/jobs/" + id(12) + "/abort", new byte[0], answer));
     loop.runFor(Duration.ofSeconds(120));
-    assertTrue(store.keys("ts-ended/") >= 12, store.keys("ts-ended/") + " put away");
-    assertTrue(store.keys("ts/jobs/") <= 1, store.keys("ts/jobs/") + " left");
+    assertTrue(store.keyCount("ts-ended/") >= 12, store.keyCount("ts-ended/") + " put away");
+    assertTrue(store.keyCount("ts/jobs/") <= 1, store.keyCount("ts/jobs/") + " left");
     int starts = started.size();
     known(13, id(12));
     killAll();
@@ -72,7 +72,7 @@
     known(13, id(12));
     loop.runFor(Duration.ofSeconds(60));
     assertEquals(starts, started.size(), "nothing of it runs again");
-    assertEquals(0, store.keys("ts/intake/"));
+    assertEquals(0, store.keyCount("ts/intake/"));
   }
 
   /** Asked all the time while jobs end and are put away, by controllers that come and go. */
@@ -117,14 +117,14 @@
 
   private Start start(int ended, Function<String, String> key) throws Exception {
     store.clear();
-    store.limits(store.limits().withPages(StoreLimits.MAX_PAGE));
+    store.limits(store.limits().withPageSize(StoreLimits.MAX_PAGE_SIZE));
     ObjectNode outcome = JobRecord.outcome(JobRecord.Phase.DONE).write();
     for (int i = 0; i < ended; i++) {
       store.preset(key.apply(String.format("wk-%07d", i)), outcome);
     }
     controllerCount = 3;
     store.limits(store.limits().withRequests(200));
-    store.resetCounts();
+    store.resetCounters();
     Duration from = loop.now();
     bootAll();
     int[] ready = {0};
@@ -137,7 +137,7 @@
             .handleFront("GET", "/up", new byte[0], (status, body, r) -> ready[0] += status == 200 ? 1 : 0);
       }
     }
-    Start start = new Start((int) store.requests(), (int) store.refused(), loop.now().minus(from));
+    Start start = new Start((int) store.requests(), (int) store.rejected(), loop.now().minus(from));
     killAll();
     return start;
   }
--- a/src/test/java/io/tansystack/sim/LossDelayCrashTest.java
+++ b/src/test/java/io/tansystack/sim/LossDelayCrashTest.java
@@ -77,7 +77,7 @@
     for (JobSpec spec : bursts) {
       assertEquals("done", state(spec.id()), "seed " + seed + " job " + spec.id());
     }
-    assertEquals(0, store.keys("ts/intake/"), "what accepted several jobs is removed in the end");
+    assertEquals(0, store.keyCount("ts/intake/"), "what accepted several jobs is removed in the end");
     for (int j = 0; j < 6; j++) {
       assertEquals("done", state("wk-00000" + j), "seed " + seed + " job " + j);
     }
--- a/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
+++ b/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
@@ -86,7 +86,7 @@
     loop.runFor(Duration.ofSeconds(2));
     users.cancel("wk-000000", SimUsers.ANY);
     loop.runFor(Duration.ofSeconds(62));
-    workers.values().forEach(worker -> assertEquals(List.of(), worker.live(), worker.name()));
+    workers.values().forEach(worker -> assertEquals(List.of(), worker.liveTasks(), worker.name()));
     assertEquals(Set.of(), users.judge().broken);
     assertEquals("withdrawn", state("wk-000000"));
   }
@@ -110,7 +110,7 @@
     }
     apart.clear();
     loop.runFor(Duration.ofSeconds(60));
-    assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTasks()).sum(), "leases that ran out");
+    assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(), "leases that ran out");
     assertTrue(started.size() >= before);
     allIsWell("apart for " + seconds + " s");
   }
@@ -124,7 +124,7 @@
     running(3, 12, 100);
     for (int i = 0; i < 3; i++) {
       List<EmulatedWorker> all = List.copyOf(workers.values());
-      all.get(random.nextInt(all.size())).die();
+      all.get(random.nextInt(all.size())).markDead();
       kill(i);
       loop.runFor(Duration.ofMillis(200));
       boot(i);
--- a/src/test/java/io/tansystack/sim/RandomFaultRun.java
+++ b/src/test/java/io/tansystack/sim/RandomFaultRun.java
@@ -217,7 +217,7 @@
   private void cancelNow(int count, Duration hang) {
     List<EmulatedWorker> hit = new ArrayList<>();
     for (EmulatedWorker worker : workers.values()) {
-      for (String task : worker.live()) {
+      for (String task : worker.liveTasks()) {
         UserJob told = users.jobs.get(task.substring(0, task.indexOf('/')));
         if (hit.size() < count && told != null && !told.asksToCancel && told.accepted != null) {
           hit.add(worker);
--- a/src/test/java/io/tansystack/sim/SimCluster.java
+++ b/src/test/java/io/tansystack/sim/SimCluster.java
@@ -31,12 +31,12 @@
   @Override
   void check() {
     Set<String> seen = new HashSet<>();
-    int running = workers.values().stream().mapToInt(worker -> worker.live().size()).sum();
+    int running = workers.values().stream().mapToInt(worker -> worker.liveTasks().size()).sum();
     if (settings.contains("cpus_max = 40.0") && running > 40) {
       broken.add("quota: " + running + " tasks of one processor, 40 allowed");
     }
     for (EmulatedWorker worker : workers.values()) {
-      for (String task : worker.live()) {
+      for (String task : worker.liveTasks()) {
         if (!seen.add(task)) {
           broken.add("on two machines: " + task);
         }
--- a/src/test/java/io/tansystack/sim/SimFleet.java
+++ b/src/test/java/io/tansystack/sim/SimFleet.java
@@ -30,7 +30,7 @@
     if (worker.isDead()) {
       return;
     }
-    if (worker.hangs()) {
+    if (worker.isHung()) {
       loop.after(worker.hungUntil().minus(loop.now()), () -> report(worker));
       return;
     }
@@ -70,12 +70,12 @@
       }
     }
     Reply reply = (status, bytes, r) -> {
-      if (over[0] || lost || worker.isDead() || worker.hangs() || unhearing.contains(worker.name())) {
+      if (over[0] || lost || worker.isDead() || worker.isHung() || unhearing.contains(worker.name())) {
         return;
       }
       over[0] = true;
       if (status == 200) {
-        worker.answered(status, decode(bytes), sentAt, session);
+        worker.onReportResponse(status, decode(bytes), sentAt, session);
         loop.after(Duration.ofMillis(1500), () -> report(worker));
       } else if (status == 421 && decode(bytes).has("Dispatcher")) {
         target(worker, Integer.parseInt(decode(bytes).get("Dispatcher").asText().substring(2)));
--- a/src/test/java/io/tansystack/sim/SimNetwork.java
+++ b/src/test/java/io/tansystack/sim/SimNetwork.java
@@ -47,7 +47,7 @@
   static final InetSocketAddress CLOUD = new InetSocketAddress("127.0.0.1", 8443);
 
   final SimEventLoop loop = new SimEventLoop();
-  final EmulatedStore store = new EmulatedStore(loop, StoreLimits.none(), () -> this.outage);
+  final EmulatedStore store = new EmulatedStore(loop, StoreLimits.unlimited(), () -> this.outage);
   final Map<String, EmulatedWorker> workers = new LinkedHashMap<>();
   final Map<Integer, Controller> controllers = new HashMap<>();
   final Map<Integer, SimEventLoop.ProcessLoop> processes = new HashMap<>();
@@ -118,7 +118,7 @@
   public void delete(String name) {
     EmulatedWorker worker = workers.remove(name);
     if (worker != null) {
-      worker.die();
+      worker.markDead();
     }
   }
 
@@ -143,7 +143,7 @@
   }
 
   @Override
-  public JobSpec description(String job) {
+  public JobSpec jobSpec(String job) {
     return uploaded.get(job);
   }
 
@@ -192,22 +192,22 @@
   }
 
   @Override
-  public void launched(EmulatedWorker worker, TaskId task) {
+  public void onLaunched(EmulatedWorker worker, TaskId task) {
     started.add(task + "@" + worker.name());
   }
 
   @Override
-  public void completed(TaskId task) {
+  public void onCompleted(TaskId task) {
     completed.add(task.toString());
   }
 
   @Override
-  public void completionReported(EmulatedWorker worker, TaskId task) {
+  public void onCompletionReported(EmulatedWorker worker, TaskId task) {
     onCompleted.forEach(told -> told.accept(task.toString()));
   }
 
   @Override
-  public void changed(EmulatedWorker worker) {
+  public void onChanged(EmulatedWorker worker) {
     onChange.forEach(Runnable::run);
   }
 
@@ -472,11 +472,11 @@
             && !worker.isDead()
             && !unhearing.contains(worker.name())
             && !uncommanded.contains(worker.name())) {
-          if (worker.hangs()) {
+          if (worker.isHung()) {
             loop.after(worker.hungUntil().minus(loop.now()), () -> deliver(to, method, path, body, back));
             return;
           }
-          int status = worker.commands(decode(body));
+          int status = worker.handleCommands(decode(body));
           check();
           back.accept(status, Cbor.encode(worker.report().write()));
         }
--- a/src/test/java/io/tansystack/sim/SmallJobStreamTest.java
+++ b/src/test/java/io/tansystack/sim/SmallJobStreamTest.java
@@ -52,7 +52,7 @@
     // Accepted, placed, over; an outcome that is put away, when nothing else is written, takes two writes more.
     long putAway = 2 * store.writes("ts-ended/");
     assertTrue(writes - putAway <= 3.5 * streamed, writes + " writes for " + streamed + " jobs, " + putAway + " put away");
-    assertTrue(store.refused() <= 10, store.refused() + " writes over the limit");
+    assertTrue(store.rejected() <= 10, store.rejected() + " writes over the limit");
     List<Long> waits =
         users().jobs.values().stream()
             .filter(told -> told.accepted != null)
@@ -67,6 +67,6 @@
 
   /** What every start has to read. */
   private int keptKeys() {
-    return (int) store.keys("ts/");
+    return (int) store.keyCount("ts/");
   }
 }
--- a/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
@@ -64,7 +64,7 @@
           spec.id().equals("wk-000009") ? "withdrawn" : "done", state(spec.id()), spec.id());
     }
     assertEquals(JOBS - 1, started.size(), "each was started once, and none that was cancelled");
-    assertEquals(0, store.keys("ts/intake/"), "nothing needs them any more");
+    assertEquals(0, store.keyCount("ts/intake/"), "nothing needs them any more");
   }
 
   @Test
--- a/src/test/java/io/tansystack/sim/TakeoverTest.java
+++ b/src/test/java/io/tansystack/sim/TakeoverTest.java
@@ -38,7 +38,7 @@
           null, false, false);
     }
     loop.runFor(Duration.ofSeconds(9));
-    List<EmulatedWorker> busy = machines().stream().filter(worker -> !worker.live().isEmpty()).toList();
+    List<EmulatedWorker> busy = machines().stream().filter(worker -> !worker.liveTasks().isEmpty()).toList();
     assertTrue(busy.size() > 2, "enough runs");
     for (EmulatedWorker worker : busy.subList(0, busy.size() * 2 / 3)) {
       switch (how) {
@@ -47,7 +47,7 @@
         case "unhearing" -> unhearing.add(worker.name());
         default -> uncommanded.add(worker.name());
       }
-      worker.live().forEach(
+      worker.liveTasks().forEach(
           task -> users().cancel(task.substring(0, task.indexOf('/')), SimUsers.ANY));
     }
     loop.runFor(Duration.ofMillis(700));
@@ -124,7 +124,7 @@
       copiesForNext = true;
       copies = 0.7;
       List<EmulatedWorker> all = machines();
-      all.get(random.nextInt(all.size())).die();
+      all.get(random.nextInt(all.size())).markDead();
       all.stream().limit(3).forEach(worker -> worker.hangUntil(loop.now().plusSeconds(39))); // A session more.
       work(4, 3);
       users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
@@ -199,7 +199,7 @@
     run = Duration.ofSeconds(3);
     running(3, 8, 8, 1);
     loop.runFor(Duration.ofSeconds(60));
-    assertTrue(store.keys("ts-ended/") >= 8, "put away");
+    assertTrue(store.keyCount("ts-ended/") >= 8, "put away");
     end(1, 100);
     loop.runFor(Duration.ofSeconds(6));
     garbledBy = "store";
--- a/src/test/java/io/tansystack/sim/ZoneFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/ZoneFaultsTest.java
@@ -120,7 +120,7 @@
     loop.runFor(Duration.ofSeconds(14));
     List<EmulatedWorker> there = machines().stream().filter(worker -> worker.zone().equals("b")).toList();
     assertTrue(there.size() > 2, "machines in the zone");
-    there.subList(0, there.size() * 3 / 4).forEach(EmulatedWorker::die);
+    there.subList(0, there.size() * 3 / 4).forEach(EmulatedWorker::markDead);
     full.add("b");
     loop.runFor(Duration.ofSeconds(1));
     strike(change, holder("ts/fleet"), Duration.ofSeconds(11));
