--- a/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
+++ b/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
@@ -32,7 +32,7 @@
             .replace("cpus_max = 40.0", "cpus_max = 0.0")
             .replace("lease_s = 36.0", "lease_s = " + lease)
             .replace("cancel_s = 61.0", "cancel_s = " + cancel);
-    run = Duration.ofSeconds(400);
+    taskRunTime = Duration.ofSeconds(400);
     controllerCount = 4;
     maxMachines = 24;
     users = new SimUsers(this);
@@ -75,8 +75,8 @@
     Duration lead = Duration.ofSeconds(3);
     cancelThroughOthers(leader, from, lead.plus(alone));
     loop.runFor(lead);
-    refused = leader;
-    loop.after(Duration.ofSeconds(14), () -> refused = -1);
+    refusedByStore = leader;
+    loop.after(Duration.ofSeconds(14), () -> refusedByStore = -1);
     loop.runFor(alone);
     outage = true;
     loop.runFor(outageLasts);
@@ -84,10 +84,10 @@
   }
 
   private void inTime(String what) {
-    assertEquals(Set.of(), users.judge().broken, what);
+    assertEquals(Set.of(), users.checker().violations, what);
     assertTrue(
-        users.judge().lastOfCancelled.compareTo(Duration.ofMillis((long) (setting("cancel_s") * 1000))) <= 0,
-        what + ": " + users.judge().lastOfCancelled);
+        users.checker().longestRunAfterCancel.compareTo(Duration.ofMillis((long) (setting("cancel_s") * 1000))) <= 0,
+        what + ": " + users.checker().longestRunAfterCancel);
     assertTrue(
         users.jobs.values().stream().filter(told -> told.cancelled != null).count() >= 8,
         what + ": enough was cancelled to be a test");
@@ -125,9 +125,9 @@
     loop.runFor(Duration.ofSeconds(4));
     gap(leader(whom), 38, Duration.ofMillis((long) (alone * 1000)), lasts);
     loop.runFor(Duration.ofSeconds(10));
-    users.calm();
+    users.faultsOver();
     loop.runFor(Duration.ofSeconds(130));
-    assertEquals(Set.of(), users.judge().atTheEnd());
+    assertEquals(Set.of(), users.checker().finalViolations());
     inTime(whom + " " + outageS);
   }
 
@@ -137,14 +137,14 @@
   void inWhateverStateTheTasksAre(String state) throws Exception {
     random = new Random(7);
     if (state.equals("fetching")) {
-      fetch = Duration.ofSeconds(120);
+      imageFetchTime = Duration.ofSeconds(120);
     }
     if (state.equals("saving")) {
-      save = Duration.ofSeconds(9);
+      taskSaveTime = Duration.ofSeconds(9);
     }
     if (state.equals("launches held up")) {
-      held = 0.7;
-      heldFor = Duration.ofSeconds(70);
+      delayedCommandShare = 0.7;
+      maxCommandDelay = Duration.ofSeconds(70);
     }
     running(18, 43, 40);
     List<EmulatedWorker> all = List.copyOf(workers.values());
@@ -153,18 +153,18 @@
       all.subList(0, all.size() / 2).forEach(worker -> worker.hangUntil(until));
     }
     if (state.equals("commands held up")) {
-      held = 0.7;
-      heldFor = Duration.ofSeconds(70);
+      delayedCommandShare = 0.7;
+      maxCommandDelay = Duration.ofSeconds(70);
     }
     if (state.equals("saving")) {
       all.forEach(worker -> worker.reclaimNoticeS(200.0));
     }
     gap(holder("ts/fleet"), 0, Duration.ofSeconds(2), Duration.ofSeconds(55));
-    held = 0;
+    delayedCommandShare = 0;
     all.forEach(worker -> worker.reclaimNoticeS(null));
-    users.calm();
+    users.faultsOver();
     loop.runFor(Duration.ofSeconds(130));
-    assertEquals(Set.of(), users.judge().atTheEnd());
+    assertEquals(Set.of(), users.checker().finalViolations());
     inTime(state);
   }
 
@@ -177,20 +177,20 @@
   @ValueSource(ints = {0, 8, 14})
   void cancelledWorkThatNoCommandReachesIsLeftToItsLease(int refusedFor) throws Exception {
     running(18, 43, 20);
-    uncommanded.addAll(workers.keySet());
+    commandsBlocked.addAll(workers.keySet());
     int owner = ownerOfMost();
-    refused = refusedFor > 0 ? owner : -1;
+    refusedByStore = refusedFor > 0 ? owner : -1;
     for (int i = 0; i < 10; i++) {
       users.cancel(id(i), (owner + 1) % controllerCount);
     }
     loop.runFor(Duration.ofSeconds(refusedFor));
-    refused = -1;
+    refusedByStore = -1;
     loop.runFor(Duration.ofSeconds(50));
     inTime("commands lost, refused for " + refusedFor + " s");
-    uncommanded.clear();
-    users.calm();
+    commandsBlocked.clear();
+    users.faultsOver();
     loop.runFor(Duration.ofSeconds(100));
-    assertEquals(Set.of(), users.judge().atTheEnd());
+    assertEquals(Set.of(), users.checker().finalViolations());
     assertEquals("withdrawn", state(id(3)));
   }
 
@@ -204,25 +204,25 @@
     random = new Random(3);
     running(18, 43, 10);
     int busy = jobs;
-    held = 1;
-    heldFor = Duration.ofSeconds(100);
+    delayedCommandShare = 1;
+    maxCommandDelay = Duration.ofSeconds(100);
     for (int i = 0; i < 30; i++) {
       users.submit(spec(id(jobs++), 1), SimUsers.ANY);
     }
     loop.runFor(Duration.ofSeconds(2));
-    writeKind = "ts/machines/";
-    overLimit = true;
+    faultyWritePrefix = "ts/machines/";
+    writesOverLimit = true;
     for (int job = busy; job < jobs; job++) {
       users.cancel(id(job), job % controllerCount);
     }
     loop.runFor(Duration.ofSeconds(110));
-    overLimit = false;
-    held = 0;
+    writesOverLimit = false;
+    delayedCommandShare = 0;
     inTime("launches held up");
-    assertEquals(0, users.judge().lateStarts.stream().filter(s -> s.after().toSeconds() > 43).count());
-    users.calm();
+    assertEquals(0, users.checker().lateStarts.stream().filter(s -> s.after().toSeconds() > 43).count());
+    users.faultsOver();
     loop.runFor(Duration.ofSeconds(130));
-    assertEquals(Set.of(), users.judge().atTheEnd());
+    assertEquals(Set.of(), users.checker().finalViolations());
   }
 
   /**
@@ -235,9 +235,9 @@
   void startsInARowGiveCancelledWorkNoMoreTime(String who, int everyS, double lease, double cancel)
       throws Exception {
     random = new Random(everyS);
-    clockOff = Duration.ofMillis(250);
+    maxClockError = Duration.ofMillis(250);
     running(lease, cancel, 30);
-    uncommanded.addAll(workers.keySet());
+    commandsBlocked.addAll(workers.keySet());
     for (int i = 0; i < 12; i++) {
       users.cancel(id(i), i % controllerCount);
     }
@@ -246,16 +246,16 @@
       for (int i = 0; i < controllerCount; i++) {
         if (who.equals("all") || i == (who.equals("leader") ? holder("ts/fleet") : round % controllerCount)) {
           kill(i);
-          bootIn(i, Duration.ofMillis(100 + 200L * i));
+          bootAfter(i, Duration.ofMillis(100 + 200L * i));
         }
       }
       loop.runFor(Duration.ofSeconds(everyS));
     }
     inTime(who + " every " + everyS + " s");
-    uncommanded.clear();
-    users.calm();
+    commandsBlocked.clear();
+    users.faultsOver();
     loop.runFor(Duration.ofSeconds(130));
-    assertEquals(Set.of(), users.judge().atTheEnd());
+    assertEquals(Set.of(), users.checker().finalViolations());
   }
 
   /**
@@ -277,9 +277,9 @@
     loop.runFor(Duration.ofSeconds(60));
     inTime("its owner ended");
     assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(), "leases that ran out");
-    users.calm();
+    users.faultsOver();
     loop.runFor(Duration.ofSeconds(80));
-    assertEquals(Set.of(), users.judge().atTheEnd());
+    assertEquals(Set.of(), users.checker().finalViolations());
   }
 
   /**
@@ -290,21 +290,21 @@
   @ValueSource(ints = {12, 19, 24})
   void anEndOfAllAmidCancellationsCostsNoOtherWork(int awayS) throws Exception {
     running(36, 61, 60);
-    uncommanded.addAll(workers.keySet()); // Confirmed, and none of it stopped yet.
+    commandsBlocked.addAll(workers.keySet()); // Confirmed, and none of it stopped yet.
     for (int i = 0; i < 24; i++) {
       users.cancel(id(i), i % controllerCount);
     }
     loop.runFor(Duration.ofMillis(40));
-    uncommanded.clear();
+    commandsBlocked.clear();
     for (int i = 0; i < controllerCount; i++) {
       kill(i);
-      bootIn(i, Duration.ofSeconds(awayS).plusMillis(300L * i));
+      bootAfter(i, Duration.ofSeconds(awayS).plusMillis(300L * i));
     }
     loop.runFor(Duration.ofSeconds(70));
     inTime("all away for " + awayS + " s");
     assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(), "leases that ran out");
-    users.calm();
+    users.faultsOver();
     loop.runFor(Duration.ofSeconds(80));
-    assertEquals(Set.of(), users.judge().atTheEnd());
+    assertEquals(Set.of(), users.checker().finalViolations());
   }
 }
--- a/src/test/java/io/tansystack/sim/ClusterTest.java
+++ b/src/test/java/io/tansystack/sim/ClusterTest.java
@@ -32,15 +32,15 @@
     assertEquals("404", state("wk-000002"));
     loop.runFor(Duration.ofSeconds(120));
     assertEquals("done", state("wk-000001"));
-    assertEquals(10, started.size(), "each task was started once");
+    assertEquals(10, startedTasks.size(), "each task was started once");
     kill(0);
     boot(0);
     loop.runFor(Duration.ofSeconds(2));
     ObjectNode[] answer = new ObjectNode[1];
     byte[] other = Cbor.encode(Cbor.map().put("Uid", "wk-000001").put("Wagons", "many"));
-    assertEquals(200, call("POST", "/v1/jobs", other, answer), "whatever the body of a repetition");
+    assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "whatever the body of a repetition");
     assertEquals("done", answer[0].get("Status").asText());
-    assertEquals(200, call("POST", "/v1/jobs/wk-000001/abort", new byte[0], answer));
+    assertEquals(200, callFirstAvailable("POST", "/v1/jobs/wk-000001/abort", new byte[0], answer));
     assertEquals("done", answer[0].get("Status").asText());
   }
 
@@ -56,7 +56,7 @@
     for (int i = 0; i < 50; i++) {
       job.withArray("Fleets").add("a-type-with-a-long-name-" + i);
     }
-    assertEquals(status, call("POST", "/v1/jobs", Cbor.encode(job), new ObjectNode[1]));
+    assertEquals(status, callFirstAvailable("POST", "/v1/jobs", Cbor.encode(job), new ObjectNode[1]));
     assertEquals(status == 201 ? "pending" : "404", state("wk-000001"));
   }
 
@@ -68,7 +68,7 @@
     loop.runFor(Duration.ofSeconds(20));
     assertTrue(workers.values().stream().anyMatch(w -> !w.liveTasks().isEmpty()));
     ObjectNode[] answer = new ObjectNode[1];
-    assertEquals(200, call("POST", "/v1/jobs/wk-000001/abort", new byte[0], answer));
+    assertEquals(200, callFirstAvailable("POST", "/v1/jobs/wk-000001/abort", new byte[0], answer));
     loop.runFor(Duration.ofSeconds(5));
     assertTrue(workers.values().stream().allMatch(w -> w.liveTasks().isEmpty()));
     loop.runFor(Duration.ofSeconds(60));
@@ -107,7 +107,7 @@
     }
     loop.runFor(Duration.ofSeconds(120));
     assertEquals("done", state("wk-000001"));
-    assertEquals(40, started.size(), "nothing was lost and nothing ran twice");
+    assertEquals(40, startedTasks.size(), "nothing was lost and nothing ran twice");
   }
 
   /** Its peers take its slots long before its lease of 17.5 s has ended. */
@@ -119,10 +119,10 @@
     }
     loop.runFor(Duration.ofSeconds(15));
     assertTrue(slotsOf("c-1") > 0);
-    refused = 1;
+    refusedByStore = 1;
     loop.runFor(Duration.ofSeconds(9));
     assertEquals(0, slotsOf("c-1"));
-    refused = -1;
+    refusedByStore = -1;
     loop.runFor(Duration.ofSeconds(30));
     assertTrue(slotsOf("c-1") > 0, "it gets its share back");
   }
@@ -160,8 +160,8 @@
     }
     loop.runFor(Duration.ofSeconds(220));
     assertEquals("done", state("wk-000001"));
-    assertEquals(60, started.size(), "nothing was lost and nothing ran twice");
-    assertEquals(Set.of(), broken);
+    assertEquals(60, startedTasks.size(), "nothing was lost and nothing ran twice");
+    assertEquals(Set.of(), violations);
   }
 
   /** No answer and no error, for longer than the workers' leases: the others carry all of it on. */
@@ -169,14 +169,14 @@
   void aSilentControllerCostsNoWork() throws Exception {
     bootThreeWithWork(60);
     int victim = holder("ts/fleet");
-    silent.add(victim);
+    isolated.add(victim);
     loop.runFor(Duration.ofSeconds(90));
     assertTrue(holder("ts/fleet") != victim);
-    silent.clear();
+    isolated.clear();
     loop.runFor(Duration.ofSeconds(200));
     assertEquals("done", state("wk-000001"));
-    assertEquals(60, started.size(), "nothing was lost and nothing ran twice");
-    assertEquals(Set.of(), broken);
+    assertEquals(60, startedTasks.size(), "nothing was lost and nothing ran twice");
+    assertEquals(Set.of(), violations);
   }
 
   /** Workers alone can't reach it; it must not hold their work, nor have them returned as silent. */
@@ -185,14 +185,14 @@
     maxMachines = 18;
     bootThreeWithWork(100);
     Set<String> before = Set.copyOf(workers.keySet());
-    deafTo = holder("ts/fleet");
+    cutOffFromWorkers = holder("ts/fleet");
     loop.runFor(Duration.ofSeconds(22));
     assertTrue(workers.keySet().containsAll(before), "none is returned as silent");
     loop.runFor(Duration.ofSeconds(20));
-    deafTo = -1;
+    cutOffFromWorkers = -1;
     loop.runFor(Duration.ofSeconds(200));
     assertEquals("done", state("wk-000001"));
-    assertEquals(100, started.size(), "nothing was lost and nothing ran twice");
+    assertEquals(100, startedTasks.size(), "nothing was lost and nothing ran twice");
   }
 
   /**
@@ -207,17 +207,17 @@
     loop.runFor(Duration.ofSeconds(12));
     submit("wk-000001", 60);
     loop.runFor(Duration.ofSeconds(15));
-    deafTo = 0;
-    deletionsLate = Duration.ofSeconds(late);
-    refuseRepeated = refused;
+    cutOffFromWorkers = 0;
+    deletionDelay = Duration.ofSeconds(late);
+    refuseRepeatedDeletions = refused;
     loop.runFor(Duration.ofSeconds(38));
-    deafTo = -1;
+    cutOffFromWorkers = -1;
     // Some are heard again later: what ran elsewhere by then would go there a second time.
-    unheard.addAll(List.of("n-000000", "n-000001", "n-000002", "n-000003"));
+    reportsBlocked.addAll(List.of("n-000000", "n-000001", "n-000002", "n-000003"));
     loop.runFor(Duration.ofSeconds(4));
-    unheard.clear();
+    reportsBlocked.clear();
     loop.runFor(Duration.ofSeconds(200));
-    assertEquals(Set.of(), broken);
+    assertEquals(Set.of(), violations);
     assertEquals("done", state("wk-000001"));
   }
 
@@ -226,10 +226,10 @@
   void refusedConnectionsBetweenControllersMakeNoStormOfClaims() throws Exception {
     bootThreeWithWork(40);
     long before = slotWrites();
-    peersRefuse = true;
+    refusePeerConnections = true;
     loop.runFor(Duration.ofSeconds(25));
     assertTrue(slotWrites() - before <= 40, "claims of slots: " + (slotWrites() - before));
-    peersRefuse = false;
+    refusePeerConnections = false;
     loop.runFor(Duration.ofSeconds(150));
     assertEquals("done", state("wk-000001"));
   }
@@ -266,8 +266,8 @@
       check();
     }
     loop.runFor(Duration.ofSeconds(30));
-    assertEquals(Set.of(), broken);
-    assertTrue(started.size() > 100, "it was used: " + started.size());
+    assertEquals(Set.of(), violations);
+    assertTrue(startedTasks.size() > 100, "it was used: " + startedTasks.size());
   }
 
   /** On a large fleet one controller has all duties, whoever claimed them first, and another after its end. */
@@ -297,7 +297,7 @@
     boot(1);
     loop.runFor(Duration.ofSeconds(12));
     submit("wk-000001", 4);
-    refused = 0;
+    refusedByStore = 0;
     loop.runFor(Duration.ofSeconds(5));
     int[] answer = new int[2];
     for (String path : List.of("/v1/jobs/wk-000001", "/v1/jobs/wk-000001/abort", "/v1/jobs")) {
--- a/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
@@ -34,10 +34,10 @@
   })
   void commandsAndAnswersHeldUp(int seconds, String meanwhile) throws Exception {
     random = new Random(seconds);
-    running(3, 14, 6, 8);
-    held = 0.6;
-    heldFor = Duration.ofSeconds(seconds);
-    work(4, 6);
+    startWithJobs(3, 14, 6, 8);
+    delayedCommandShare = 0.6;
+    maxCommandDelay = Duration.ofSeconds(seconds);
+    submitJobs(4, 6);
     loop.runFor(Duration.ofSeconds(3));
     List<EmulatedWorker> all = List.copyOf(workers.values());
     switch (meanwhile) {
@@ -51,21 +51,21 @@
       }
       case "restart" -> {
         for (int i = 0; i < 4; i++) {
-          end(i % 3, 200);
+          restart(i % 3, 200);
           loop.runFor(Duration.ofSeconds(7));
         }
       }
       case "cancel" -> users().jobs.keySet().forEach(id -> users().cancel(id, SimUsers.ANY));
       default -> { }
     }
-    work(4, 3);
+    submitJobs(4, 3);
     loop.runFor(Duration.ofSeconds(80));
     if (meanwhile.equals("heir")) {
       for (int i = 0; i < 3; i++) {
-        bootIn(i, Duration.ZERO);
+        bootAfter(i, Duration.ZERO);
       }
     }
-    allIsWell(seconds + " s, " + meanwhile);
+    assertRecovered(seconds + " s, " + meanwhile);
   }
 
   /** The state service is slow, then refuses the leader, then everybody, while users cancel and ask. */
@@ -73,24 +73,24 @@
   @CsvSource({"300, 10", "900, 20", "1500, 65", "1900, 30", "3000, 65"})
   void slowThenRefusingOneThenAll(int slowMs, int outageS) throws Exception {
     random = new Random(slowMs);
-    running(4, 14, 20, 2);
-    run = Duration.ofSeconds(90);
-    storeSlow = Duration.ofMillis(slowMs);
+    startWithJobs(4, 14, 20, 2);
+    taskRunTime = Duration.ofSeconds(90);
+    maxStoreDelay = Duration.ofMillis(slowMs);
     for (int i = 0; i < 12; i++) {
       String cancelled = id(i);
       loop.after(Duration.ofMillis(1700L * i), () -> users().cancel(cancelled, SimUsers.ANY));
-      loop.after(Duration.ofMillis(1100L * i), () -> users().askForNone("wk-999999"));
+      loop.after(Duration.ofMillis(1100L * i), () -> users().pollUnknown("wk-999999"));
     }
     loop.runFor(Duration.ofSeconds(6));
-    work(6, 2);
+    submitJobs(6, 2);
     loop.runFor(Duration.ofSeconds(4));
-    refused = holder("ts/fleet");
+    refusedByStore = holder("ts/fleet");
     loop.runFor(Duration.ofSeconds(5));
     outage = true;
     loop.runFor(Duration.ofSeconds(outageS));
     outage = false;
     loop.runFor(Duration.ofSeconds(5));
-    allIsWell(slowMs + " ms, " + outageS + " s");
+    assertRecovered(slowMs + " ms, " + outageS + " s");
   }
 
   /**
@@ -99,9 +99,9 @@
    */
   @Test
   void whatIsReadSlowlyIsNoOlderThanTheCopy() throws Exception {
-    running(3, 14, 10, 2);
-    run = Duration.ofSeconds(90);
-    slowReads = Duration.ofSeconds(1);
+    startWithJobs(3, 14, 10, 2);
+    taskRunTime = Duration.ofSeconds(90);
+    readDelay = Duration.ofSeconds(1);
     List<String> answers = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       String id = id(i);
@@ -112,7 +112,7 @@
     }
     loop.runFor(Duration.ofSeconds(4));
     assertEquals(Collections.nCopies(10, "true 200 withdrawn"), answers);
-    allIsWell("slow reads");
+    assertRecovered("slow reads");
   }
 
   /** There and back: the leader ends and is back within the time, so does the next one, then all but one. */
@@ -120,19 +120,19 @@
   @CsvSource({"30, 0", "300, 0", "900, 0.3", "1500, 0", "3000, 0.3", "9000, 0.2", "20000, 0"})
   void handOverAndBack(int backMs, double late) throws Exception {
     random = new Random(backMs);
-    running(4, 14, 8, 5);
-    lateWrites = late;
+    startWithJobs(4, 14, 8, 5);
+    lateWriteShare = late;
     for (int i = 0; i < 4; i++) {
-      end(holder(i % 2 == 0 ? "ts/fleet" : "ts/slots/0"), backMs);
+      restart(holder(i % 2 == 0 ? "ts/fleet" : "ts/slots/0"), backMs);
       loop.runFor(Duration.ofMillis(backMs / 2 + 700));
-      work(2, 3);
+      submitJobs(2, 3);
     }
     int first = random.nextInt(4);
     for (int i = 0; i < 4; i++) {
-      end(i, i == first ? backMs : backMs + 15_000 + random.nextInt(25_000));
+      restart(i, i == first ? backMs : backMs + 15_000 + random.nextInt(25_000));
     }
     loop.runFor(Duration.ofMillis(backMs + 41_000));
-    allIsWell("back after " + backMs + " ms");
+    assertRecovered("back after " + backMs + " ms");
   }
 
   /**
@@ -166,31 +166,31 @@
     for (int seed = 1; seed <= 3; seed++) {
       CombinedFaultsTest anew = new CombinedFaultsTest();
       anew.random = new Random(seed);
-      anew.users().closeLooks = atOnce;
+      anew.users().queryAllOnChange = atOnce;
       anew.playUnanswered(kind, least + 0.25 * seed, atOnce);
     }
   }
 
   private void playUnanswered(String kind, double share, boolean atOnce) throws Exception {
-    writeKind = kind;
-    lateWrites = atOnce ? 0 : share / 2; // So that a cluster comes to be at all.
-    answersLost = atOnce ? share / 2 : 0;
-    running(4, 16, 12, 3);
-    lateWrites = atOnce ? 0 : share;
-    answersLost = atOnce ? share : 0;
+    faultyWritePrefix = kind;
+    lateWriteShare = atOnce ? 0 : share / 2; // So that a cluster comes to be at all.
+    lostResponseShare = atOnce ? share / 2 : 0;
+    startWithJobs(4, 16, 12, 3);
+    lateWriteShare = atOnce ? 0 : share;
+    lostResponseShare = atOnce ? share : 0;
     for (int round = 0; round < 4; round++) {
       int size = 1 + random.nextInt(6);
-      work(size, 1 + random.nextInt(4));
-      users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
+      submitJobs(size, 1 + random.nextInt(4));
+      users().cancel(id(random.nextInt(jobCount)), SimUsers.ANY);
       loop.runFor(Duration.ofMillis(500 + random.nextInt(6000)));
       if (round == 1) {
         workers.values().stream().limit(3).forEach(worker -> worker.hangUntil(loop.now().plusSeconds(45)));
       }
-      end(random.nextInt(4), new int[] {100, 900, 4000, 12_000}[random.nextInt(4)]);
+      restart(random.nextInt(4), new int[] {100, 900, 4000, 12_000}[random.nextInt(4)]);
       loop.runFor(Duration.ofMillis(500 + random.nextInt(9000)));
     }
     loop.runFor(Duration.ofSeconds(13));
-    allIsWell((atOnce ? "unanswered " : "late ") + kind + " " + share);
+    assertRecovered((atOnce ? "unanswered " : "late ") + kind + " " + share);
   }
 
   /**
@@ -201,24 +201,24 @@
   @CsvSource({"5, 0", "16, 0", "17, 0.4", "25, 0", "45, 0.4", "70, 0"})
   void aLeaderApartWhileOthersCancel(int seconds, double copied) throws Exception {
     random = new Random(seconds);
-    run = Duration.ofSeconds(100);
-    copies = copied;
-    running(4, 14, 24, 2);
+    taskRunTime = Duration.ofSeconds(100);
+    duplicateReportShare = copied;
+    startWithJobs(4, 14, 24, 2);
     int leader = holder("ts/fleet");
-    apart.add(leader);
+    cutOffFromStoreAndPeers.add(leader);
     for (int i = 0; i < 16; i++) {
       String cancelled = id(i);
       int through = i % 4 == 3 ? leader : (leader + 1 + i % 3) % 4;
       loop.after(Duration.ofMillis(seconds * 70L * i), () -> users().cancel(cancelled, through));
     }
     for (int i = 0; i < 4; i++) {
-      users().submit(spec(id(jobs++), 2), leader);
+      users().submit(spec(id(jobCount++), 2), leader);
     }
     loop.runFor(Duration.ofSeconds(seconds));
-    apart.clear();
+    cutOffFromStoreAndPeers.clear();
     loop.runFor(Duration.ofSeconds(3));
-    allIsWell("apart for " + seconds + " s");
-    assertTrue(users().judge().lastOfCancelled.compareTo(Duration.ofSeconds(61)) <= 0);
+    assertRecovered("apart for " + seconds + " s");
+    assertTrue(users().checker().longestRunAfterCancel.compareTo(Duration.ofSeconds(61)) <= 0);
   }
 
   /**
@@ -229,38 +229,38 @@
   @CsvSource({"ends", "back at once", "refused", "apart", "frozen", "all end", "silent"})
   void tasksThatEndFarApartAcrossAChangeOfLeader(String change) throws Exception {
     random = new Random(change.hashCode());
-    farApart = true;
-    run = Duration.ofSeconds(12);
-    running(3, 18, 10, 3);
-    work(6, 2);
+    unevenRunTimes = true;
+    taskRunTime = Duration.ofSeconds(12);
+    startWithJobs(3, 18, 10, 3);
+    submitJobs(6, 2);
     for (int i = 0; i < 5; i++) {
-      users().submit(gang(id(jobs++), 2 + i % 2), SimUsers.ANY);
+      users().submit(gang(id(jobCount++), 2 + i % 2), SimUsers.ANY);
     }
     loop.runFor(Duration.ofSeconds(3));
     for (int round = 0; round < 3; round++) {
       int leader = holder("ts/fleet");
       switch (change) {
-        case "ends" -> end(leader, 21_000);
-        case "back at once" -> end(leader, 150);
-        case "refused" -> refused = leader;
-        case "apart" -> apart.add(leader);
+        case "ends" -> restart(leader, 21_000);
+        case "back at once" -> restart(leader, 150);
+        case "refused" -> refusedByStore = leader;
+        case "apart" -> cutOffFromStoreAndPeers.add(leader);
         case "frozen" -> processes.get(leader).freeze(Duration.ofSeconds(13));
-        case "silent" -> silent.add(leader);
+        case "silent" -> isolated.add(leader);
         default -> {
           for (int i = 0; i < 3; i++) {
-            end(i, 2000 + 1500 * i);
+            restart(i, 2000 + 1500 * i);
           }
         }
       }
       loop.runFor(Duration.ofSeconds(14));
-      calm();
+      clearFaults();
       loop.runFor(Duration.ofSeconds(8));
-      work(3, 3);
+      submitJobs(3, 3);
     }
-    allIsWell(change);
+    assertRecovered(change);
     int tasks = users().jobs.values().stream().mapToInt(told -> told.spec.tasks()).sum();
     int lost = workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum();
-    assertTrue(started.size() <= tasks + lost, started.size() + " starts of " + tasks + ", " + lost + " lost");
+    assertTrue(startedTasks.size() <= tasks + lost, startedTasks.size() + " starts of " + tasks + ", " + lost + " lost");
     assertEquals(tasks, new HashSet<>(completed).size(), "none is lost and none is done twice");
   }
 
@@ -275,27 +275,27 @@
   })
   void aLeaderEndsWhileMachinesAreOutOfReach(String how, int seconds) throws Exception {
     random = new Random(seconds);
-    run = Duration.ofSeconds(130);
-    running(3, 15, 18, 2);
+    taskRunTime = Duration.ofSeconds(130);
+    startWithJobs(3, 15, 18, 2);
     List<EmulatedWorker> some = List.copyOf(workers.values()).subList(0, 6);
     for (EmulatedWorker worker : some) {
       switch (how) {
-        case "unheard" -> unheard.add(worker.name());
-        case "unhearing" -> unhearing.add(worker.name());
+        case "unheard" -> reportsBlocked.add(worker.name());
+        case "unhearing" -> inboundBlocked.add(worker.name());
         default -> worker.hangUntil(loop.now().plusSeconds(seconds));
       }
     }
     some.get(0).reclaimNoticeS(60.0);
     loop.runFor(Duration.ofSeconds(1));
-    end(holder("ts/fleet"), 60_000);
+    restart(holder("ts/fleet"), 60_000);
     loop.runFor(Duration.ofSeconds(2));
     users().cancel(id(0), SimUsers.ANY);
-    work(6, 2);
+    submitJobs(6, 2);
     loop.runFor(Duration.ofSeconds(seconds - 3));
-    unheard.clear();
-    unhearing.clear();
+    reportsBlocked.clear();
+    inboundBlocked.clear();
     loop.runFor(Duration.ofSeconds(60));
     some.get(0).reclaimNoticeS(null);
-    allIsWell(how + " for " + seconds + " s");
+    assertRecovered(how + " for " + seconds + " s");
   }
 }
--- a/src/test/java/io/tansystack/sim/FaultScenario.java
+++ b/src/test/java/io/tansystack/sim/FaultScenario.java
@@ -13,19 +13,23 @@
 import java.util.List;
 import java.util.Set;
 
-/** What tests of troubles that meet have in common: a cluster with work, its users, and what must hold in the end. */
+/**
+ * Base of tests of combined faults: starts a cluster with jobs, injects faults, checks the outcome.
+ */
 abstract class FaultScenario extends SimCluster {
   private SimUsers users;
-  int jobs;
+  int jobCount;
 
   {
     settings = SettingsTest.VALID.replace("cpus_max = 40.0", "cpus_max = 60.0");
   }
 
-  /** Whether the tasks of a job end far apart: the second runs three times as long, the third five times. */
-  boolean farApart;
+  /**
+   * Whether the second task of a job runs three times as long as the first, the third five times.
+   */
+  boolean unevenRunTimes;
 
-  /** Made when they are first asked for: the settings have to stand by then. */
+  /** Returns the users, created at the first call; the settings must be final by then. */
   SimUsers users() {
     if (users == null) {
       users = new SimUsers(this);
@@ -34,19 +38,19 @@
   }
 
   @Override
-  Duration runOf(String task) {
+  Duration runTimeOf(String task) {
     int index = Integer.parseInt(task.substring(task.indexOf('/') + 1));
-    return farApart ? run.multipliedBy(1 + 2L * (index % 3)) : run;
+    return unevenRunTimes ? taskRunTime.multipliedBy(1 + 2L * (index % 3)) : taskRunTime;
   }
 
-  /** A cluster with so many jobs of so many tasks. */
-  void running(int controllers, int machines, int waiting, int tasks) throws Exception {
+  /** Starts a cluster, submits jobs and lets 14 s pass. */
+  void startWithJobs(int controllers, int machines, int jobs, int tasks) throws Exception {
     start(controllers, machines);
-    work(waiting, tasks);
+    submitJobs(jobs, tasks);
     loop.runFor(Duration.ofSeconds(14));
   }
 
-  /** Two teams at limits that they reach soon, of CPUs and, the first, of GPUs; machines of two types. */
+  /** Returns settings with two teams with CPU limits; the first team also has a GPU limit. */
   static String twoTeams(int cpus, int gpus, int otherCpus) {
     return SettingsTest.VALID
         .replace("cpus_max = 40.0", "cpus_max = " + cpus + ".0")
@@ -66,20 +70,20 @@
     loop.runFor(Duration.ofSeconds(12));
   }
 
-  void work(int count, int tasks) {
+  void submitJobs(int count, int tasks) {
     for (int i = 0; i < count; i++) {
-      users().submit(spec(id(jobs++), tasks), SimUsers.ANY);
+      users().submit(spec(id(jobCount++), tasks), SimUsers.ANY);
     }
   }
 
-  /** A job of its own kind; the next one in number. */
+  /** Submits a job with the given properties under the next ID, and returns the ID. */
   String submit(
-      String team, JobKind shape, Priority priority, int tasks, double cpus, double gpus,
-      String zone, boolean together, boolean scatter) {
-    String id = id(jobs++);
+      String team, JobKind kind, Priority priority, int tasks, double cpus, double gpus,
+      String zone, boolean sameZone, boolean scatter) {
+    String id = id(jobCount++);
     users().submit(
         new JobSpec(
-            id, "c", team, shape, priority, tasks, cpus, gpus, 1, "img", 1, null, zone, together, scatter, false,
+            id, "c", team, kind, priority, tasks, cpus, gpus, 1, "img", 1, null, zone, sameZone, scatter, false,
             20, 0, 0, null),
         SimUsers.ANY);
     return id;
@@ -99,62 +103,70 @@
     return new ArrayList<>(workers.values());
   }
 
-  void end(int index, int backMs) {
+  /** Kills the controller if it is running, and starts it again after {@code downMs}. */
+  void restart(int index, int downMs) {
     if (controllers.containsKey(index)) {
       kill(index);
     }
-    bootIn(index, Duration.ofMillis(backMs));
+    bootAfter(index, Duration.ofMillis(downMs));
   }
 
   /**
-   * What becomes of a controller: it ends for long or for a moment, the state service refuses it, it has
-   * nothing left but users and workers, it stands still, or nobody reaches it.
+   * Injects a fault of one controller or of all.
+   *
+   * @param fault "ends" (restarts after the duration), "blinks" (restarts after 150 ms), "refused"
+   *     (by the state service), "apart" (reaches only users and workers), "frozen" (process pause),
+   *     "silent" (isolated), "all end" (all restart after the duration, 400 ms apart), or "rolling"
+   *     (all restart one after the other, 2.5 s apart)
    */
-  void strike(String how, int controller, Duration lasts) {
-    switch (how) {
-      case "ends" -> end(controller, (int) lasts.toMillis());
-      case "blinks" -> end(controller, 150);
-      case "refused" -> refused = controller;
-      case "apart" -> apart.add(controller);
-      case "frozen" -> processes.get(controller).freeze(lasts);
-      case "silent" -> silent.add(controller);
+  void inject(String fault, int controller, Duration duration) {
+    switch (fault) {
+      case "ends" -> restart(controller, (int) duration.toMillis());
+      case "blinks" -> restart(controller, 150);
+      case "refused" -> refusedByStore = controller;
+      case "apart" -> cutOffFromStoreAndPeers.add(controller);
+      case "frozen" -> processes.get(controller).freeze(duration);
+      case "silent" -> isolated.add(controller);
       case "all end" -> {
         for (int i = 0; i < controllerCount; i++) {
-          end(i, (int) lasts.toMillis() + 400 * i);
+          restart(i, (int) duration.toMillis() + 400 * i);
         }
       }
       case "rolling" -> {
         for (int i = 0; i < controllerCount; i++) {
           int index = i;
-          loop.after(Duration.ofMillis(2500L * i), () -> end(index, 1200));
+          loop.after(Duration.ofMillis(2500L * i), () -> restart(index, 1200));
         }
       }
-      default -> throw new IllegalArgumentException(how);
+      default -> throw new IllegalArgumentException(fault);
     }
-    if (Set.of("refused", "apart", "silent").contains(how)) {
-      loop.after(lasts, this::calm);
+    if (Set.of("refused", "apart", "silent").contains(fault)) {
+      loop.after(duration, this::clearFaults);
     }
   }
 
-  /** All troubles are over: no rule is broken, every job is answered for, and what wasn't cancelled is done. */
-  void allIsWell(String what) {
-    calm();
+  /**
+   * Ends all faults and lets 300 s pass, with services cancelled after 100 s. Then no rule may be
+   * violated, every job must have ended, and every job that wasn't cancelled must be done.
+   */
+  void assertRecovered(String description) {
+    clearFaults();
     for (int i = 0; i < controllerCount; i++) {
-      bootIfAway(i);
+      bootIfDown(i);
     }
-    users().calm();
+    users().faultsOver();
     users().jobs.values().stream()
-        .filter(told -> told.spec.kind() == JobKind.SERVICE && !told.asksToCancel)
+        .filter(job -> job.spec.kind() == JobKind.SERVICE && !job.cancelRequested)
         .forEach(
-            told ->
+            job ->
                 loop.after(
-                    Duration.ofSeconds(100), () -> users().cancel(told.spec.id(), SimUsers.ANY)));
+                    Duration.ofSeconds(100), () -> users().cancel(job.spec.id(), SimUsers.ANY)));
     loop.runFor(Duration.ofSeconds(300));
-    assertEquals(Set.of(), users().judge().atTheEnd(), what);
+    assertEquals(Set.of(), users().checker().finalViolations(), description);
     users().jobs.forEach(
-        (id, told) -> {
-          assertTrue(told.over(), what + " " + id + ": " + told.last);
-          assertTrue(told.asksToCancel || told.done != null, what + " " + id + " is done");
+        (id, job) -> {
+          assertTrue(job.isFinished(), description + " " + id + ": " + job.lastState);
+          assertTrue(job.cancelRequested || job.done != null, description + " " + id + " is done");
         });
   }
 }
--- a/src/test/java/io/tansystack/sim/FullRestartTest.java
+++ b/src/test/java/io/tansystack/sim/FullRestartTest.java
@@ -62,7 +62,7 @@
         kill(i);
       }
       if (back.get(i) >= 0) {
-        bootIn(i, Duration.ofMillis(back.get(i)));
+        bootAfter(i, Duration.ofMillis(back.get(i)));
       }
     }
   }
@@ -81,7 +81,7 @@
 
   private void noStorm() {
     check();
-    assertEquals(Set.of(), broken);
+    assertEquals(Set.of(), violations);
     workers.values().forEach(worker -> assertEquals(List.of(), worker.redundantCommands(), worker.name()));
   }
 
@@ -91,7 +91,7 @@
     for (int j = 0; j < jobs; j++) {
       assertEquals("done", state(String.format("wk-%06d", j)), "job " + j);
     }
-    assertEquals(submitted + lost, started.size(), "each task was started once, and again if lost");
+    assertEquals(submitted + lost, startedTasks.size(), "each task was started once, and again if lost");
   }
 
   @ParameterizedTest
@@ -132,7 +132,7 @@
     for (int i = 0; i < controllerCount; i++) {
       if (controllers.containsKey(i)) {
         kill(i);
-        bootIn(i, Duration.ofMillis(3000 + random.nextInt(1500)));
+        bootAfter(i, Duration.ofMillis(3000 + random.nextInt(1500)));
       }
     }
   }
@@ -158,12 +158,12 @@
         }
       }
       case "hung" -> {
-        all.subList(0, all.size() / 3).forEach(worker -> unheard.add(worker.name()));
-        loop.after(Duration.ofSeconds(25 + random.nextInt(40)), unheard::clear);
+        all.subList(0, all.size() / 3).forEach(worker -> reportsBlocked.add(worker.name()));
+        loop.after(Duration.ofSeconds(25 + random.nextInt(40)), reportsBlocked::clear);
       }
       case "cut" -> {
-        silent.add(0);
-        loop.after(Duration.ofSeconds(40), silent::clear);
+        isolated.add(0);
+        loop.after(Duration.ofSeconds(40), isolated::clear);
       }
       case "rolling" -> {
         loop.runFor(Duration.ofSeconds(6));
@@ -193,7 +193,7 @@
     ObjectNode[] answer = new ObjectNode[1];
     int status = 0;
     for (int tries = 0; tries < 20 && status != 200; tries++) {
-      status = call("POST", "/v1/jobs/" + id + "/abort", new byte[0], answer);
+      status = callFirstAvailable("POST", "/v1/jobs/" + id + "/abort", new byte[0], answer);
       loop.runFor(Duration.ofSeconds(1));
     }
     assertEquals(200, status);
@@ -216,7 +216,7 @@
     }
     if (!mayLose) {
       assertEquals(0, lost(), what);
-      assertEquals(submitted, started.size(), what);
+      assertEquals(submitted, startedTasks.size(), what);
     }
   }
 
@@ -229,7 +229,7 @@
     store.clear();
     workers.values().forEach(worker -> worker.markDead());
     workers.clear();
-    started.clear();
+    startedTasks.clear();
     completed.clear();
     submitted = 0;
     jobs = 0;
--- a/src/test/java/io/tansystack/sim/HistoryChecker.java
+++ b/src/test/java/io/tansystack/sim/HistoryChecker.java
@@ -20,48 +20,57 @@
 import java.util.Set;
 
 /**
- * Judges a whole history by every rule of the protocol: what users were told, and what was on the
- * workers' machines after each event there and at every fifth of a second. It sees the published
- * interfaces only and shares no code with the service; {@link FairnessChecker} judges who is served.
+ * Checks a whole run against every rule of the protocol: the responses that users got, and the
+ * tasks on the workers' machines after each event there and every 200 ms. It uses the published
+ * interfaces only and shares no code with the service; {@link FairnessChecker} checks which jobs
+ * get capacity.
  */
 final class HistoryChecker {
-  /** A job about which no question is answered for so long, once all troubles are over, is forgotten. */
-  private static final Duration ANSWERED = Duration.ofSeconds(75);
+  /**
+   * After all faults have ended, a job without a response for longer than this counts as forgotten.
+   */
+  private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(75);
 
-  private static final Duration EVERY = Duration.ofMillis(200);
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(200);
 
-  /** What a team's tasks may use together; 0 stands for no limit. */
+  /** What a team's tasks may use together; 0 means no limit. */
   record Limit(double cpus, double gpus) {}
 
-  /** A task that started after its user had been told that its job is cancelled, and how long after. */
+  /**
+   * A task that started after the cancellation of its job had been confirmed, and how long after.
+   */
   record LateStart(String task, String machine, Duration after) {}
 
   private final SimCluster cluster;
   private final SimUsers users;
-  private final Duration cancel;
+  private final Duration cancelTimeout;
   private final Map<String, Limit> limits;
-  private final FairnessChecker served;
+  private final FairnessChecker fairness;
 
-  /** Tasks that were there at the last look, each with machine, session and attempt. */
-  private Set<String> there = new HashSet<>();
+  /**
+   * Attempts that were on a machine at the previous check, each prefixed with the machine's name.
+   */
+  private Set<String> previousAttempts = new HashSet<>();
 
-  /** What was broken, each rule and job once. */
-  final Set<String> broken = new LinkedHashSet<>();
+  /** Violations without duplicates, each as the rule's name, the job or task, and details. */
+  final Set<String> violations = new LinkedHashSet<>();
 
-  /** The longest time for which a task of a cancelled job was there after its user had been told. */
-  Duration lastOfCancelled = Duration.ZERO;
+  /** Longest time that a task was on a machine after its job's cancellation had been confirmed. */
+  Duration longestRunAfterCancel = Duration.ZERO;
 
-  /** Not a breach while they were under way before, but users count them. */
+  /**
+   * Starts after a confirmed cancellation; no violation if in flight before, but users see them.
+   */
   final List<LateStart> lateStarts = new ArrayList<>();
 
   HistoryChecker(SimCluster cluster, SimUsers users) {
     this.cluster = cluster;
     this.users = users;
-    this.cancel = Duration.ofMillis((long) (cluster.setting("cancel_s") * 1000));
+    this.cancelTimeout = Duration.ofMillis((long) (cluster.setting("cancel_s") * 1000));
     this.limits = limits(cluster.settings);
-    this.served = new FairnessChecker(cluster, users, limits);
-    cluster.onChange.add(this::look);
-    watch();
+    this.fairness = new FairnessChecker(cluster, users, limits);
+    cluster.onChange.add(this::checkMachines);
+    checkPeriodically();
   }
 
   private static Map<String, Limit> limits(String settings) {
@@ -78,144 +87,147 @@
     }
   }
 
-  private void watch() {
-    look();
-    served.look();
-    cluster.loop.after(EVERY, this::watch);
+  private void checkPeriodically() {
+    checkMachines();
+    fairness.check();
+    cluster.loop.after(CHECK_INTERVAL, this::checkPeriodically);
   }
 
-  /** Looks at all machines once. */
-  void look() {
-    Map<String, String> where = new HashMap<>();
-    Map<String, Map<String, Integer>> zones = new HashMap<>();
-    Map<String, double[]> used = new LinkedHashMap<>();
-    Set<String> now = new HashSet<>();
+  /** Checks the attempts on all machines at this moment. */
+  void checkMachines() {
+    Map<String, String> machineByTask = new HashMap<>();
+    Map<String, Map<String, Integer>> zonesByJob = new HashMap<>();
+    Map<String, double[]> usedByTeam = new LinkedHashMap<>();
+    Set<String> attempts = new HashSet<>();
     for (EmulatedWorker worker : cluster.workers.values()) {
       for (String attempt : worker.liveAttempts()) {
         String task = attempt.substring(0, attempt.indexOf('#'));
-        String other = where.put(task, worker.name());
+        String other = machineByTask.put(task, worker.name());
         if (other != null) {
-          broken.add("ran_twice " + task + " on " + other + " and " + worker.name());
+          violations.add("ran_twice " + task + " on " + other + " and " + worker.name());
         }
-        boolean starts = !there.contains(worker.name() + " " + attempt);
-        now.add(worker.name() + " " + attempt);
-        UserJob told = users.jobs.get(task.substring(0, task.indexOf('/')));
-        if (told == null) {
+        boolean isNew = !previousAttempts.contains(worker.name() + " " + attempt);
+        attempts.add(worker.name() + " " + attempt);
+        UserJob job = users.jobs.get(task.substring(0, task.indexOf('/')));
+        if (job == null) {
           continue;
         }
-        double[] team = used.computeIfAbsent(told.spec.team(), k -> new double[2]);
-        team[0] += told.spec.cpus();
-        team[1] += told.spec.gpus();
-        zones.computeIfAbsent(told.spec.id(), k -> new HashMap<>()).merge(worker.zone(), 1, Integer::sum);
-        if (starts) {
-          started(told, task, worker);
+        double[] team = usedByTeam.computeIfAbsent(job.spec.team(), k -> new double[2]);
+        team[0] += job.spec.cpus();
+        team[1] += job.spec.gpus();
+        zonesByJob.computeIfAbsent(job.spec.id(), k -> new HashMap<>()).merge(worker.zone(), 1, Integer::sum);
+        if (isNew) {
+          onTaskStarted(job, task, worker);
         }
-        if (told.cancelled != null) {
-          stillThere(told, worker);
+        if (job.cancelled != null) {
+          checkCancelled(job, worker);
         }
       }
     }
-    there = now;
-    used.forEach(this::use);
-    zones.forEach((id, counts) -> place(users.jobs.get(id).spec, counts));
+    previousAttempts = attempts;
+    usedByTeam.forEach(this::checkQuota);
+    zonesByJob.forEach((id, counts) -> checkPlacement(users.jobs.get(id).spec, counts));
   }
 
-  private void started(UserJob told, String task, EmulatedWorker worker) {
-    JobSpec spec = told.spec;
+  private void onTaskStarted(UserJob job, String task, EmulatedWorker worker) {
+    JobSpec spec = job.spec;
     boolean allowedType = spec.types() == null || spec.types().contains(worker.type().name());
     if (!allowedType || (worker.spot() && !spec.spotAllowed())) {
-      broken.add("wrong_place " + task + " on " + worker.type().name() + (worker.spot() ? ", which is spot" : ""));
+      violations.add(
+          "wrong_place " + task + " on " + worker.type().name() + (worker.spot() ? ", which is spot" : ""));
     }
-    if (told.cancelled != null) {
-      lateStarts.add(new LateStart(task, worker.name(), cluster.loop.now().minus(told.cancelled)));
+    if (job.cancelled != null) {
+      lateStarts.add(new LateStart(task, worker.name(), cluster.loop.now().minus(job.cancelled)));
     }
-    served.started(told);
+    fairness.onTaskStarted(job);
   }
 
-  private void use(String team, double[] used) {
+  private void checkQuota(String team, double[] used) {
     Limit limit = limits.getOrDefault(team, new Limit(0, 0));
     if ((limit.cpus > 0 && used[0] > limit.cpus + 1e-6) || (limit.gpus > 0 && used[1] > limit.gpus + 1e-6)) {
-      broken.add("quota " + team + " " + used[0] + " and " + used[1] + " of " + limit);
+      violations.add("quota " + team + " " + used[0] + " and " + used[1] + " of " + limit);
     }
   }
 
-  private void stillThere(UserJob told, EmulatedWorker worker) {
-    Duration since = cluster.loop.now().minus(told.cancelled);
-    lastOfCancelled = since.compareTo(lastOfCancelled) > 0 ? since : lastOfCancelled;
-    if (since.compareTo(cancel) > 0) {
-      broken.add("ran_cancelled " + told.spec.id() + " on " + worker.name());
+  private void checkCancelled(UserJob job, EmulatedWorker worker) {
+    Duration elapsed = cluster.loop.now().minus(job.cancelled);
+    longestRunAfterCancel = elapsed.compareTo(longestRunAfterCancel) > 0 ? elapsed : longestRunAfterCancel;
+    if (elapsed.compareTo(cancelTimeout) > 0) {
+      violations.add("ran_cancelled " + job.spec.id() + " on " + worker.name());
     }
   }
 
-  private void place(JobSpec spec, Map<String, Integer> counts) {
-    int most = spec.spreadZones() ? (spec.tasks() + 1) / 2 : spec.tasks();
-    boolean apart = spec.sameZone() && counts.size() > 1;
-    boolean elsewhere = spec.zone() != null && !counts.keySet().equals(Set.of(spec.zone()));
-    if (apart || elsewhere || counts.values().stream().anyMatch(count -> count > most)) {
-      broken.add("wrong_place " + spec.id() + " " + counts);
+  private void checkPlacement(JobSpec spec, Map<String, Integer> counts) {
+    int maxPerZone = spec.spreadZones() ? (spec.tasks() + 1) / 2 : spec.tasks();
+    boolean split = spec.sameZone() && counts.size() > 1;
+    boolean outsideZone = spec.zone() != null && !counts.keySet().equals(Set.of(spec.zone()));
+    if (split || outsideZone || counts.values().stream().anyMatch(count -> count > maxPerZone)) {
+      violations.add("wrong_place " + spec.id() + " " + counts);
     }
   }
 
-  /** A submission of a job that can't run, or lacks a field, was answered. */
-  void answeredImpossible(String id, int status) {
+  /** Checks the response to a submission of a job that can't run or lacks a field. */
+  void onInvalidSubmissionAnswered(String id, int status) {
     if (status == 200 || status == 201) {
-      broken.add("accepted " + id + " though it can't run");
+      violations.add("accepted " + id + " though it can't run");
     }
   }
 
-  void answerForNone(String id, int status) {
+  /** Checks the response to a request for a job that was never accepted. */
+  void onUnknownJobAnswered(String id, int status) {
     if (status == 200) {
-      broken.add("invented " + id);
+      violations.add("invented " + id);
     }
   }
 
   /**
-   * An answer about a job, before the user takes it in. Two ends of a job contradict each other whenever they
-   * come. That a job goes on is older than its end, and that nobody knows it older than its acceptance; either
-   * is wrong in answer to a question that was asked after any answer, from whichever node, had told the user.
-   * Where both were under way at once it isn't: the one controller can't have heard yet what the other one is
-   * just saying.
+   * Checks a response about a job before the user's view of the job is updated. Two different
+   * terminal states contradict each other in any order. A response that the job is still active is
+   * older than its end, and one that the job is unknown is older than its acceptance. Either is a
+   * violation if the request was sent after a response of any controller had told the user of the
+   * end or acceptance. It is none if both requests were in flight at once: one controller may not
+   * know yet what the other one is just reporting.
    *
-   * @param known what had been told when it was asked
+   * @param known what the user had been told when the request was sent
    */
-  void answered(UserJob told, ObservedState known, int status, byte[] body) {
-    String id = told.spec.id();
+  void onAnswer(UserJob job, ObservedState known, int status, byte[] body) {
+    String id = job.spec.id();
     if (known.accepted() && (status == 404 || status == 400 || status == 422)) {
-      broken.add("forgotten " + id + ": answered " + status);
+      violations.add("forgotten " + id + ": answered " + status);
     }
     if (status != 200 && status != 201) {
       return;
     }
     ObjectNode map = SimNetwork.decode(body);
     String state = map.path("Status").asText();
-    boolean older = !UserJob.isOver(state) && known.over();
-    boolean other = UserJob.isOver(state) && told.over() && !state.equals(told.last);
-    if (older || other) {
-      broken.add("went_back " + id + " from " + told.last + " to " + state);
+    boolean wentBack = !UserJob.isTerminal(state) && known.finished();
+    boolean contradicts = UserJob.isTerminal(state) && job.isFinished() && !state.equals(job.lastState);
+    if (wentBack || contradicts) {
+      violations.add("went_back " + id + " from " + job.lastState + " to " + state);
     }
-    if (state.equals("withdrawn") && !told.asksToCancel) {
-      broken.add("went_back " + id + ": its user did not cancel it");
+    if (state.equals("withdrawn") && !job.cancelRequested) {
+      violations.add("went_back " + id + ": its user did not cancel it");
     }
     if (state.equals("done")) {
-      for (int task = 0; task < told.spec.tasks(); task++) {
+      for (int task = 0; task < job.spec.tasks(); task++) {
         if (!cluster.completed.contains(id + "/" + task)) {
-          broken.add("not_done " + id + " lacks task " + task);
+          violations.add("not_done " + id + " lacks task " + task);
         }
       }
     }
   }
 
-  /** What is judged at the end, once all troubles have been over for long. */
-  Set<String> atTheEnd() {
-    users.waits().forEach((id, wait) -> {
-      if (wait.compareTo(ANSWERED) > 0) {
-        broken.add("forgotten " + id + ": no answer for " + wait.toSeconds() + " s");
+  /** Adds the violations that show at the end of a run, long after all faults, and returns all. */
+  Set<String> finalViolations() {
+    users.longestWaits().forEach((id, wait) -> {
+      if (wait.compareTo(ANSWER_TIMEOUT) > 0) {
+        violations.add("forgotten " + id + ": no answer for " + wait.toSeconds() + " s");
       }
     });
-    if (cluster.started.isEmpty()) {
-      broken.add("nothing_ran");
+    if (cluster.startedTasks.isEmpty()) {
+      violations.add("nothing_ran");
     }
-    broken.addAll(served.atTheEnd());
-    return broken;
+    violations.addAll(fairness.finalViolations());
+    return violations;
   }
 }
--- a/src/test/java/io/tansystack/sim/HistoryCheckerTest.java
+++ b/src/test/java/io/tansystack/sim/HistoryCheckerTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The judge of the other tests sees a breach of each rule, planted without any controller. */
+/**
+ * Checks that {@link HistoryChecker}, on which the other simulation tests rely, detects a violation
+ * of each rule. The violations are created without any controller.
+ */
 class HistoryCheckerTest extends SimCluster {
   {
     settings = twoTeams();
@@ -26,39 +29,39 @@
   }
 
   private final SimUsers users = new SimUsers(this);
-  private final HistoryChecker judge = users.judge();
+  private final HistoryChecker checker = users.checker();
   private final EmulatedWorker first = worker("a");
   private final EmulatedWorker second = worker("b");
-  private UserJob told;
+  private UserJob job;
 
   private EmulatedWorker worker(String zone) {
     return workers.get(addWorker(zone));
   }
 
-  private static JobSpec job(int tasks, String zone, boolean together, boolean spread) {
-    return job("wk-000001", "vision", tasks, 30, 0, null, zone, together, spread);
+  private static JobSpec job(int tasks, String zone, boolean sameZone, boolean scatter) {
+    return job("wk-000001", "vision", tasks, 30, 0, null, zone, sameZone, scatter);
   }
 
   private static JobSpec job(
       String id, String team, int tasks, double cpus, double gpus, List<String> types, String zone,
-      boolean together, boolean spread) {
+      boolean sameZone, boolean scatter) {
     return new JobSpec(
         id, "c", team, JobKind.ARRAY, Priority.NORMAL, tasks, cpus, gpus, 1, "img", 1, types, zone,
-        together, spread, false, 20, 0, 0, null);
+        sameZone, scatter, false, 20, 0, 0, null);
   }
 
   private void accepted(JobSpec spec) {
-    told = new UserJob(spec);
-    users.jobs.put(spec.id(), told);
+    job = new UserJob(spec);
+    users.jobs.put(spec.id(), job);
     answer("pending");
   }
 
   private void answer(String state) {
-    answer(told.known(), state);
+    answer(job.observed(), state);
   }
 
   private void answer(ObservedState known, String state) {
-    users.answered(told, known, 200, Cbor.encode(Cbor.map().put("Status", state)));
+    users.answered(job, known, 200, Cbor.encode(Cbor.map().put("Status", state)));
   }
 
   private void start(EmulatedWorker worker, int task) {
@@ -70,20 +73,20 @@
   }
 
   private void command(EmulatedWorker worker, String command, String task) {
-    ObjectNode orders = Cbor.map().put("Baton", worker.token()).put("Shift", worker.session());
-    orders.putArray("Signals").addObject().put("Aspect", command).put("Wagon", task).put("Departure", 1)
+    ObjectNode commands = Cbor.map().put("Baton", worker.token()).put("Shift", worker.session());
+    commands.putArray("Signals").addObject().put("Aspect", command).put("Wagon", task).put("Departure", 1)
         .put("SlackS", 0);
-    assertEquals(200, worker.handleCommands(orders));
+    assertEquals(200, worker.handleCommands(commands));
   }
 
-  /** Two teams, of which the second may use two GPUs and no more than 40 CPUs, like the first. */
+  /** Returns settings with two teams of at most 40 CPUs each; the second may use two GPUs. */
   private static String twoTeams() {
     return SettingsTest.VALID.replace("[cluster.workers]", "[[cluster.teams]]\nname = \"ops\"\ncpus_max = 40.0\n"
         + "gpus_max = 2.0\n\n[cluster.workers]");
   }
 
-  private void plant(String breach) {
-    switch (breach) {
+  private void causeViolation(String violation) {
+    switch (violation) {
       case "ran_twice" -> {
         accepted(job(1, null, false, false));
         start(first, 0);
@@ -137,14 +140,14 @@
       }
       case "ran_cancelled" -> {
         accepted(job(1, null, false, false));
-        told.asksToCancel = true;
+        job.cancelRequested = true;
         answer("withdrawn");
         loop.runFor(Duration.ofSeconds(62));
         start(first, 0);
       }
       case "ran_cancelled for a moment" -> {
         accepted(job(1, null, false, false));
-        told.asksToCancel = true;
+        job.cancelRequested = true;
         answer("withdrawn");
         loop.runFor(Duration.ofSeconds(62));
         start(first, 0);
@@ -152,26 +155,26 @@
       }
       case "ran_cancelled after it hung" -> {
         accepted(job(1, null, false, false));
-        run = Duration.ofSeconds(500);
+        taskRunTime = Duration.ofSeconds(500);
         first.lease(Duration.ofSeconds(100));
         start(first, 0);
         first.hangUntil(loop.now().plusSeconds(60));
-        told.asksToCancel = true;
+        job.cancelRequested = true;
         answer("withdrawn");
         loop.runFor(Duration.ofSeconds(62));
       }
-      case "accepted what can't run" -> judge.answeredImpossible("wk-000008", 201);
+      case "accepted what can't run" -> checker.onInvalidSubmissionAnswered("wk-000008", 201);
       case "forgotten denied" -> {
         accepted(job(1, null, false, false));
-        users.answered(told, told.known(), 404, Cbor.encode(Cbor.map()));
+        users.answered(job, job.observed(), 404, Cbor.encode(Cbor.map()));
       }
       case "forgotten repetition" -> {
         accepted(job(1, null, false, false));
-        users.answered(told, told.known(), 422, Cbor.encode(Cbor.map()));
+        users.answered(job, job.observed(), 422, Cbor.encode(Cbor.map()));
       }
       case "waits" -> {
         accepted(job("wk-000001", "vision", 1, 1, 0, null, null, false, false));
-        users.calm();
+        users.faultsOver();
         for (int i = 0; i < 100; i++) {
           answer("pending");
           first.renewLease();
@@ -182,7 +185,7 @@
         accepted(job("wk-000002", "vision", 1, 1, 0, null, null, false, false));
         start(first, "wk-000002/0");
         accepted(job("wk-000001", "vision", 9, 4, 0, null, null, false, false));
-        users.calm();
+        users.faultsOver();
         loop.runFor(Duration.ofSeconds(241));
         start(first, 0);
       }
@@ -191,7 +194,7 @@
           accepted(job("wk-00000" + i, "vision", 1, 1, 0, null, null, false, false));
         }
         start(first, "wk-000000/0");
-        users.calm();
+        users.faultsOver();
       }
       case "less than half of largest" -> {
         for (int i = 0; i < 3; i++) {
@@ -199,14 +202,14 @@
         }
         start(first, "wk-000001/0");
         start(first, "wk-000002/0");
-        users.calm();
+        users.faultsOver();
       }
       case "forgotten silence" -> {
         accepted(job(1, null, false, false));
-        users.calm();
+        users.faultsOver();
         loop.runFor(Duration.ofSeconds(76));
       }
-      case "invented" -> judge.answerForNone("wk-000009", 200);
+      case "invented" -> checker.onUnknownJobAnswered("wk-000009", 200);
       case "not_done" -> {
         accepted(job(2, null, false, false));
         completed.add("wk-000001/0");
@@ -220,14 +223,14 @@
       }
       case "went_back after another node" -> {
         accepted(job(1, null, false, false));
-        told.asksToCancel = true;
-        answer("withdrawn"); // To the cancellation, by one node; the question went to another after that.
+        job.cancelRequested = true;
+        answer("withdrawn"); // One controller confirms; a later request goes to another.
         answer(new ObservedState(true, true), "pending");
       }
       case "went_back other end" -> {
         accepted(job(1, null, false, false));
         completed.add("wk-000001/0");
-        told.asksToCancel = true;
+        job.cancelRequested = true;
         answer("done");
         answer(new ObservedState(true, false), "withdrawn");
       }
@@ -235,7 +238,7 @@
         accepted(job(1, null, false, false));
         answer("withdrawn");
       }
-      default -> users.calm();
+      default -> users.faultsOver();
     }
   }
 
@@ -249,41 +252,43 @@
         "went_back after another node", "went_back other end", "went_back uncancelled", "nothing_ran", "waits",
         "begins late", "less than half of class", "less than half of largest"
       })
-  void seesABreachOfEachRule(String breach) {
-    plant(breach);
-    if (users.calmSince() == null) {
-      users.calm();
+  void detectsViolationOfEachRule(String violation) {
+    causeViolation(violation);
+    if (users.faultsOverSince() == null) {
+      users.faultsOver();
     }
-    judge.atTheEnd();
-    String rule = breach.startsWith("less") || breach.startsWith("begins") ? breach : breach.split(" ")[0];
-    assertTrue(judge.broken.stream().anyMatch(b -> b.startsWith(rule)), breach + ": " + judge.broken);
+    checker.finalViolations();
+    String rule =
+        violation.startsWith("less") || violation.startsWith("begins") ? violation : violation.split(" ")[0];
+    assertTrue(
+        checker.violations.stream().anyMatch(b -> b.startsWith(rule)), violation + ": " + checker.violations);
   }
 
-  /** Counted and told with its time, though not more than {@code cancel_s} after it was confirmed. */
+  /** A start within {@code cancel_s} after the confirmation is recorded, but is no violation. */
   @Test
-  void countsStartsAfterAConfirmedCancellation() {
+  void recordsStartsAfterConfirmedCancellation() {
     accepted(job(1, null, false, false));
-    told.asksToCancel = true;
+    job.cancelRequested = true;
     answer("withdrawn");
     loop.runFor(Duration.ofSeconds(3));
     start(first, 0);
     assertEquals(
         List.of(new HistoryChecker.LateStart("wk-000001/0", first.name(), Duration.ofSeconds(3))),
-        judge.lateStarts);
-    assertEquals(0, judge.broken.size(), judge.broken.toString());
+        checker.lateStarts);
+    assertEquals(0, checker.violations.size(), checker.violations.toString());
   }
 
   @Test
-  void seesNothingWhereNothingIsWrong() {
+  void reportsNothingForCorrectHistory() {
     accepted(job(2, null, false, true));
-    ObservedState before = told.known();
+    ObservedState before = job.observed();
     start(first, 0);
     loop.runFor(Duration.ofSeconds(30));
     start(second, 1);
     completed.addAll(List.of("wk-000001/0", "wk-000001/1"));
     answer("done");
-    answer(before, "running"); // Asked before anybody knew of the end.
-    users.calm();
-    assertEquals(0, judge.atTheEnd().size(), judge.broken.toString());
+    answer(before, "running"); // The request was sent before the end was reported.
+    users.faultsOver();
+    assertEquals(0, checker.finalViolations().size(), checker.violations.toString());
   }
 }
--- a/src/test/java/io/tansystack/sim/JobArchivalTest.java
+++ b/src/test/java/io/tansystack/sim/JobArchivalTest.java
@@ -40,15 +40,15 @@
       String expected = id(i).equals(cancelled) ? "withdrawn" : "done";
       assertEquals(expected, state(id(i)));
       byte[] other = Cbor.encode(Cbor.map().put("Uid", id(i)).put("Wagons", "many"));
-      assertEquals(200, call("POST", "/v1/jobs", other, answer), "whatever the body of a repetition");
+      assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "whatever the body of a repetition");
       assertEquals(expected, answer[0].get("Status").asText());
       byte[] same = Cbor.encode(spec(id(i), 1).write());
-      assertEquals(200, call("POST", "/v1/jobs", same, answer), "and whatever it asks for");
-      assertEquals(200, call("POST", "/v1/jobs/" + id(i) + "/abort", new byte[0], answer));
+      assertEquals(200, callFirstAvailable("POST", "/v1/jobs", same, answer), "and whatever it asks for");
+      assertEquals(200, callFirstAvailable("POST", "/v1/jobs/" + id(i) + "/abort", new byte[0], answer));
       assertEquals(expected, answer[0].get("Status").asText());
     }
     assertEquals("404", state(id(999)));
-    assertEquals(404, call("POST", "/v1/jobs/" + id(999) + "/abort", new byte[0], answer));
+    assertEquals(404, callFirstAvailable("POST", "/v1/jobs/" + id(999) + "/abort", new byte[0], answer));
   }
 
   @Test
@@ -60,18 +60,18 @@
       submit(id(i), i == 12 ? 30 : 1);
     }
     ObjectNode[] answer = new ObjectNode[1];
-    assertEquals(200, call("POST", "/v1/jobs/" + id(12) + "/abort", new byte[0], answer));
+    assertEquals(200, callFirstAvailable("POST", "/v1/jobs/" + id(12) + "/abort", new byte[0], answer));
     loop.runFor(Duration.ofSeconds(120));
     assertTrue(store.keyCount("ts-ended/") >= 12, store.keyCount("ts-ended/") + " put away");
     assertTrue(store.keyCount("ts/jobs/") <= 1, store.keyCount("ts/jobs/") + " left");
-    int starts = started.size();
+    int starts = startedTasks.size();
     known(13, id(12));
     killAll();
     bootAll(); // These have never seen them.
     loop.runFor(Duration.ofSeconds(2));
     known(13, id(12));
     loop.runFor(Duration.ofSeconds(60));
-    assertEquals(starts, started.size(), "nothing of it runs again");
+    assertEquals(starts, startedTasks.size(), "nothing of it runs again");
     assertEquals(0, store.keyCount("ts/intake/"));
   }
 
@@ -87,7 +87,7 @@
       submit(id(i), 1 + random.nextInt(3));
     }
     boolean[] over = new boolean[9];
-    trouble = 0.02;
+    exchangeFaultShare = 0.02;
     for (int round = 0; round < 60; round++) {
       int job = random.nextInt(9);
       String state = state(id(job));
@@ -103,10 +103,10 @@
       }
       assertEquals("404", state(id(500)), "nor is one invented");
     }
-    trouble = 0;
+    exchangeFaultShare = 0;
     loop.runFor(Duration.ofSeconds(60));
     check();
-    assertEquals(java.util.Set.of(), broken);
+    assertEquals(java.util.Set.of(), violations);
     for (int i = 0; i < 9; i++) {
       assertEquals("done", state(id(i)), "seed " + seed);
     }
--- a/src/test/java/io/tansystack/sim/LossDelayCrashTest.java
+++ b/src/test/java/io/tansystack/sim/LossDelayCrashTest.java
@@ -27,7 +27,7 @@
       boot(i);
     }
     loop.runFor(Duration.ofSeconds(2));
-    trouble = 0.03;
+    exchangeFaultShare = 0.03;
     for (int j = 0; j < 6; j++) {
       submit("wk-00000" + j, 12);
     }
@@ -50,30 +50,30 @@
       if (fault == 3) {
         processes.get(victim).freeze(Duration.ofMillis(500 + random.nextInt(40_000)));
       } else if (fault == 4) {
-        silent.add(victim);
-        loop.after(Duration.ofMillis(1000 + random.nextInt(60_000)), () -> silent.remove(victim));
+        isolated.add(victim);
+        loop.after(Duration.ofMillis(1000 + random.nextInt(60_000)), () -> isolated.remove(victim));
       } else if (fault == 5) {
-        refused = victim;
-        loop.after(Duration.ofMillis(1000 + random.nextInt(30_000)), () -> refused = -1);
+        refusedByStore = victim;
+        loop.after(Duration.ofMillis(1000 + random.nextInt(30_000)), () -> refusedByStore = -1);
       } else if (fault == 6) {
-        deafTo = victim;
-        loop.after(Duration.ofMillis(1000 + random.nextInt(60_000)), () -> deafTo = -1);
+        cutOffFromWorkers = victim;
+        loop.after(Duration.ofMillis(1000 + random.nextInt(60_000)), () -> cutOffFromWorkers = -1);
       } else if (fault == 7) {
-        deletionsLate = Duration.ofMillis(random.nextInt(8000));
+        deletionDelay = Duration.ofMillis(random.nextInt(8000));
       } else if (controllers.containsKey(victim) && fault < 3) {
         kill(victim);
-        bootIn(victim, Duration.ofMillis(2000 + random.nextInt(3000)));
+        bootAfter(victim, Duration.ofMillis(2000 + random.nextInt(3000)));
       }
       loop.runFor(Duration.ofMillis(3000 + random.nextInt(5000)));
       check();
     }
-    trouble = 0;
+    exchangeFaultShare = 0;
     for (JobSpec spec : bursts) {
       submit(spec.id(), spec.tasks());
     }
     loop.runFor(Duration.ofSeconds(300));
     check();
-    assertEquals(Set.of(), broken, "seed " + seed);
+    assertEquals(Set.of(), violations, "seed " + seed);
     for (JobSpec spec : bursts) {
       assertEquals("done", state(spec.id()), "seed " + seed + " job " + spec.id());
     }
--- a/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
+++ b/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
@@ -45,11 +45,11 @@
   }
 
   private void allIsWell(String what) {
-    users.calm();
+    users.faultsOver();
     loop.runFor(Duration.ofSeconds(300));
     check();
-    assertEquals(Set.of(), broken, what);
-    assertEquals(Set.of(), users.judge().atTheEnd(), what);
+    assertEquals(Set.of(), violations, what);
+    assertEquals(Set.of(), users.checker().finalViolations(), what);
     for (int j = 0; j < jobs; j++) {
       assertEquals("done", state(String.format("wk-%06d", j)), what + " job " + j);
     }
@@ -65,7 +65,7 @@
   void machinesThatDoNotHearAreLeftAlone(int seconds, int count) throws Exception {
     running(3, 20, 80);
     List<EmulatedWorker> deaf = List.copyOf(workers.values()).subList(0, count);
-    deaf.forEach(worker -> unhearing.add(worker.name()));
+    deaf.forEach(worker -> inboundBlocked.add(worker.name()));
     Map<String, Long> before = new HashMap<>();
     deaf.forEach(worker -> before.put(worker.name(), store.writes("ts/machines/" + worker.name())));
     loop.runFor(Duration.ofSeconds(seconds));
@@ -73,7 +73,7 @@
       long writes = store.writes("ts/machines/" + worker.name()) - before.get(worker.name());
       assertTrue(writes <= 5, writes + " writes for " + worker.name());
     }
-    unhearing.clear();
+    inboundBlocked.clear();
     work(40);
     allIsWell(count + " for " + seconds + " s");
   }
@@ -82,12 +82,12 @@
   @Test
   void cancelledWorkOnAMachineThatDoesNotHearIsGoneInTime() throws Exception {
     running(3, 12, 40);
-    workers.keySet().stream().limit(4).forEach(unhearing::add);
+    workers.keySet().stream().limit(4).forEach(inboundBlocked::add);
     loop.runFor(Duration.ofSeconds(2));
     users.cancel("wk-000000", SimUsers.ANY);
     loop.runFor(Duration.ofSeconds(62));
     workers.values().forEach(worker -> assertEquals(List.of(), worker.liveTasks(), worker.name()));
-    assertEquals(Set.of(), users.judge().broken);
+    assertEquals(Set.of(), users.checker().violations);
     assertEquals("withdrawn", state("wk-000000"));
   }
 
@@ -100,18 +100,18 @@
   void aControllerWithNothingButItsWorkersLosesNone(int seconds) throws Exception {
     running(3, 18, 72);
     int victim = holder("ts/fleet");
-    int before = started.size();
-    apart.add(victim);
+    int before = startedTasks.size();
+    cutOffFromStoreAndPeers.add(victim);
     loop.runFor(Duration.ofSeconds(seconds));
     if (seconds > 5 && seconds < 90) {
       int[] status = new int[1];
       controllers.get(victim).handleFront("GET", "/up", new byte[0], (s, b, r) -> status[0] = s);
       assertEquals(503, status[0], "users had better go to another");
     }
-    apart.clear();
+    cutOffFromStoreAndPeers.clear();
     loop.runFor(Duration.ofSeconds(60));
     assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(), "leases that ran out");
-    assertTrue(started.size() >= before);
+    assertTrue(startedTasks.size() >= before);
     allIsWell("apart for " + seconds + " s");
   }
 
@@ -120,7 +120,7 @@
   @ValueSource(longs = {1, 2, 3})
   void copiesOfReportsProveNothing(long seed) throws Exception {
     random = new Random(seed);
-    copies = 0.5;
+    duplicateReportShare = 0.5;
     running(3, 12, 100);
     for (int i = 0; i < 3; i++) {
       List<EmulatedWorker> all = List.copyOf(workers.values());
@@ -131,7 +131,7 @@
       loop.runFor(Duration.ofSeconds(20));
       work(30);
     }
-    copies = 0;
+    duplicateReportShare = 0;
     allIsWell("seed " + seed);
   }
 
@@ -164,13 +164,13 @@
       case 0 -> {
         List<String> deaf = new ArrayList<>();
         all.subList(0, all.size() * 2 / 5).forEach(worker -> deaf.add(worker.name()));
-        unhearing.addAll(deaf);
-        loop.after(lasts, () -> unhearing.removeAll(deaf));
+        inboundBlocked.addAll(deaf);
+        loop.after(lasts, () -> inboundBlocked.removeAll(deaf));
       }
-      case 1 -> copies = random.nextDouble();
+      case 1 -> duplicateReportShare = random.nextDouble();
       case 2, 3 -> {
-        apart.add(victim);
-        loop.after(lasts, () -> apart.remove(victim));
+        cutOffFromStoreAndPeers.add(victim);
+        loop.after(lasts, () -> cutOffFromStoreAndPeers.remove(victim));
       }
       case 4, 5 -> blink(victim, 1 + random.nextInt(2));
       case 6 -> {
@@ -218,7 +218,7 @@
       work(20);
     }
     loop.runFor(Duration.ofSeconds(51)); // The longest of them is over by then.
-    calm();
+    clearFaults();
     allIsWell("seed " + seed);
   }
 }
--- a/src/test/java/io/tansystack/sim/RandomFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/RandomFaultsTest.java
@@ -18,13 +18,13 @@
    * others gangs that waited for ever, since machines were rented in a zone where they have no use for them.
    */
   private static final long[] FOUND =
-      {721, 1074, RandomFaultRun.WIDE + 10, RandomFaultRun.WIDE + 55};
+      {721, 1074, RandomFaultRun.LAST_NARROW_SEED + 10, RandomFaultRun.LAST_NARROW_SEED + 55};
 
   /** Some dozens, or those that {@code tansystack.pairs} names as {@code FROM-TO}. */
   static LongStream seeds() {
     String named = System.getProperty("tansystack.pairs", "");
     if (named.isEmpty()) {
-      LongStream wide = LongStream.rangeClosed(RandomFaultRun.WIDE + 11, RandomFaultRun.WIDE + 50);
+      LongStream wide = LongStream.rangeClosed(RandomFaultRun.LAST_NARROW_SEED + 11, RandomFaultRun.LAST_NARROW_SEED + 50);
       return LongStream.concat(
           LongStream.concat(LongStream.rangeClosed(1, 40), LongStream.of(FOUND)), wide);
     }
@@ -35,10 +35,10 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void noRuleBreaks(long seed) throws Exception {
-    List<Fault> troubles = RandomFaultRun.draw(seed);
-    Set<String> broken = RandomFaultRun.play(seed, troubles);
+    List<Fault> troubles = RandomFaultRun.drawFaults(seed);
+    Set<String> broken = RandomFaultRun.simulate(seed, troubles);
     if (!broken.isEmpty()) {
-      List<Fault> shortest = RandomFaultRun.shortest(seed, troubles);
+      List<Fault> shortest = RandomFaultRun.minimize(seed, troubles);
       assertEquals(Set.of(), broken, "seed " + seed + " with " + troubles + ", shortest found: " + shortest);
     }
   }
@@ -46,9 +46,9 @@
   /** A day repeats itself, or its failure could not be looked into; troubles left out don't move the others. */
   @Test
   void aSeedsDayIsTheSameEveryTime() throws Exception {
-    List<Fault> troubles = RandomFaultRun.draw(5);
-    assertEquals(troubles, RandomFaultRun.draw(5));
+    List<Fault> troubles = RandomFaultRun.drawFaults(5);
+    assertEquals(troubles, RandomFaultRun.drawFaults(5));
     assertEquals(
-        RandomFaultRun.play(5, troubles), RandomFaultRun.play(5, new ArrayList<>(troubles)));
+        RandomFaultRun.simulate(5, troubles), RandomFaultRun.simulate(5, new ArrayList<>(troubles)));
   }
 }
--- a/src/test/java/io/tansystack/sim/ReadConsistencyTest.java
+++ b/src/test/java/io/tansystack/sim/ReadConsistencyTest.java
@@ -21,53 +21,53 @@
   })
   void noNodeTellsLessThanAnotherHasTold(String meanwhile) throws Exception {
     random = new Random(meanwhile.hashCode());
-    run = Duration.ofSeconds(4);
+    taskRunTime = Duration.ofSeconds(4);
     start(4, 14);
-    work(3, 1);
+    submitJobs(3, 1);
     loop.runFor(Duration.ofSeconds(12));
-    users().closeLooks = true;
+    users().queryAllOnChange = true;
     switch (meanwhile) {
-      case "slow reads" -> slowReads = Duration.ofMillis(900);
-      case "slow store" -> storeSlow = Duration.ofMillis(300);
-      case "answers lost" -> answersLost = 0.4;
-      case "late writes" -> lateWrites = 0.3;
+      case "slow reads" -> readDelay = Duration.ofMillis(900);
+      case "slow store" -> maxStoreDelay = Duration.ofMillis(300);
+      case "answers lost" -> lostResponseShare = 0.4;
+      case "late writes" -> lateWriteShare = 0.3;
       default -> { }
     }
     for (int round = 0; round < 8; round++) {
       int at = round % 4;
-      int from = jobs;
-      work(1 + round % 3 * 3, 1 + round % 2);
+      int from = jobCount;
+      submitJobs(1 + round % 3 * 3, 1 + round % 2);
       switch (meanwhile) {
-        case "one refused" -> refused = at;
-        case "one just started" -> end(at, 40);
+        case "one refused" -> refusedByStore = at;
+        case "one just started" -> restart(at, 40);
         case "all just started" -> {
           for (int i = 0; i < 4; i++) {
-            end(i, 40 + 400 * i);
+            restart(i, 40 + 400 * i);
           }
         }
         case "outcomes not remembered" -> {
           if (round == 5) {
-            work(4, 1); // Enough for what has ended to be put away, and then one that has never seen it.
+            submitJobs(4, 1); // Enough for what has ended to be put away, and then one that has never seen it.
             loop.runFor(Duration.ofSeconds(30));
-            end(at, 100);
+            restart(at, 100);
           }
         }
         case "frozen" -> processes.get(at).freeze(Duration.ofMillis(700));
         default -> { }
       }
-      for (int job = from; job < jobs; job += 2) {
+      for (int job = from; job < jobCount; job += 2) {
         String id = id(job);
         loop.after(Duration.ofMillis(random.nextInt(6000)), () -> users().cancel(id, SimUsers.ANY));
       }
       loop.runFor(Duration.ofSeconds(3));
-      refused = -1;
+      refusedByStore = -1;
       loop.runFor(Duration.ofSeconds(4));
       if (round > 1) {
-        users().lookClosely(users().jobs.get(id(random.nextInt(from)))); // At what has ended long ago, too.
+        users().queryAllControllers(users().jobs.get(id(random.nextInt(from)))); // At what has ended long ago, too.
       }
     }
-    allIsWell(meanwhile);
-    assertTrue(users().answers > 2000, users().answers + " answers");
+    assertRecovered(meanwhile);
+    assertTrue(users().answerCount > 2000, users().answerCount + " answers");
   }
 
   /**
@@ -79,22 +79,22 @@
   @CsvSource({"0, 1", "2, 1", "4, 2", "6, 1", "8, 2", "12, 1", "20, 3", "40, 1", "500, 1", "1500, 2", "2600, 1"})
   void aCancellationMeetsTheLastTasksEnd(int ms, int tasks) throws Exception {
     random = new Random(ms);
-    run = Duration.ofSeconds(3);
-    running(3, 10, 0, 0);
-    users().closeLooks = true;
+    taskRunTime = Duration.ofSeconds(3);
+    startWithJobs(3, 10, 0, 0);
+    users().queryAllOnChange = true;
     onCompleted.add(
         task -> {
           if (task.endsWith("/" + (tasks - 1))) {
             String id = task.substring(0, task.indexOf('/'));
             loop.after(Duration.ofMillis(ms), () -> users().cancel(id, SimUsers.ANY));
-            loop.after(Duration.ofMillis(ms), () -> users().lookClosely(users().jobs.get(id)));
+            loop.after(Duration.ofMillis(ms), () -> users().queryAllControllers(users().jobs.get(id)));
           }
         });
     for (int i = 0; i < 30; i++) {
-      work(1, tasks);
+      submitJobs(1, tasks);
       loop.runFor(Duration.ofMillis(370));
     }
-    allIsWell("cancelled " + ms + " ms after the end");
-    assertEquals(0, users().judge().lateStarts.size(), users().judge().lateStarts.toString());
+    assertRecovered("cancelled " + ms + " ms after the end");
+    assertEquals(0, users().checker().lateStarts.size(), users().checker().lateStarts.toString());
   }
 }
--- a/src/test/java/io/tansystack/sim/SimCluster.java
+++ b/src/test/java/io/tansystack/sim/SimCluster.java
@@ -16,45 +16,48 @@
 import java.util.TreeMap;
 import java.util.stream.LongStream;
 
-/** A cluster and its users: what they ask, and what must hold at any moment. */
+/** A simulated cluster with requests of users and the rules that must hold at every moment. */
 abstract class SimCluster extends SimFleet {
   /**
-   * The seeds that a test plays: a few, or those that the property {@code tansystack.seeds} names as
-   * {@code FROM-TO}, for many to be played once.
+   * Returns the seeds that a test runs: 1 to 8, or those that the property {@code tansystack.seeds}
+   * names as {@code FROM-TO}, for longer runs.
    */
   static LongStream seeds() {
     String[] range = System.getProperty("tansystack.seeds", "1-8").split("-");
     return LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]));
   }
 
-  /** That a task is never on two machines, nor a team over its limit, at every moment at which one may start. */
+  /**
+   * Checks that no task is on two machines and no team is over its limit; called at every moment at
+   * which a task may start.
+   */
   @Override
   void check() {
-    Set<String> seen = new HashSet<>();
+    Set<String> liveTasks = new HashSet<>();
     int running = workers.values().stream().mapToInt(worker -> worker.liveTasks().size()).sum();
     if (settings.contains("cpus_max = 40.0") && running > 40) {
-      broken.add("quota: " + running + " tasks of one processor, 40 allowed");
+      violations.add("quota: " + running + " tasks of one processor, 40 allowed");
     }
     for (EmulatedWorker worker : workers.values()) {
       for (String task : worker.liveTasks()) {
-        if (!seen.add(task)) {
-          broken.add("on two machines: " + task);
+        if (!liveTasks.add(task)) {
+          violations.add("on two machines: " + task);
         }
       }
     }
   }
 
-  /** Which controller holds a slot or the fleet. */
+  /** Returns the index of the controller that holds a slot or the autoscaler role. */
   int holder(String key) {
     return Integer.parseInt(store.value(key).get("label").asText().substring(2));
   }
 
-  /** Its process starts after a while, unless it is there by then. */
-  void bootIn(int index, Duration in) {
-    loop.after(in, () -> bootIfAway(index));
+  /** Starts the controller after a delay, unless it is running by then. */
+  void bootAfter(int index, Duration delay) {
+    loop.after(delay, () -> bootIfDown(index));
   }
 
-  void bootIfAway(int index) {
+  void bootIfDown(int index) {
     if (controllers.containsKey(index)) {
       return;
     }
@@ -65,15 +68,19 @@
     }
   }
 
-  int call(String method, String path, byte[] body, ObjectNode[] into) {
+  /**
+   * Sends a request to the running controllers in turn until one responds with 200, 201 or 404;
+   * returns the last status, 0 for no response, and stores the last body in {@code response[0]}.
+   */
+  int callFirstAvailable(String method, String path, byte[] body, ObjectNode[] response) {
     int[] status = {0};
     for (Map.Entry<Integer, Controller> entry : new TreeMap<>(controllers).entrySet()) {
-      if (silent.contains(entry.getKey())) {
+      if (isolated.contains(entry.getKey())) {
         continue;
       }
       processes.get(entry.getKey()).run(() -> entry.getValue().handleFront(method, path, body, (s, bytes, r) -> {
         status[0] = s;
-        into[0] = decode(bytes);
+        response[0] = decode(bytes);
       }));
       loop.runFor(Duration.ofSeconds(3));
       if (status[0] == 200 || status[0] == 201 || status[0] == 404) {
@@ -91,40 +98,44 @@
 
   void submit(String id, int tasks) {
     uploaded.put(id, spec(id, tasks));
-    ObjectNode[] answer = new ObjectNode[1];
+    ObjectNode[] response = new ObjectNode[1];
     for (int i = 0; i < 30; i++) {
-      int status = call("POST", "/v1/jobs", Cbor.encode(spec(id, tasks).write()), answer);
+      int status = callFirstAvailable("POST", "/v1/jobs", Cbor.encode(spec(id, tasks).write()), response);
       if (status == 200 || status == 201) {
         return;
       }
-      loop.runFor(Duration.ofSeconds(3)); // Nobody may have been there to ask.
+      loop.runFor(Duration.ofSeconds(3)); // All controllers may have been down.
     }
     throw new AssertionError("never accepted: " + id);
   }
 
-  /** Submits jobs to one controller at the same moment; tells how each was answered, 0 for not at all. */
-  Map<String, Integer> submitTogether(int to, List<JobSpec> specs) {
-    Map<String, Integer> answers = new LinkedHashMap<>();
-    Controller controller = controllers.get(to);
+  /**
+   * Submits jobs to one controller at the same moment. The returned map holds the status of each
+   * response by job ID, 0 until there is one.
+   */
+  Map<String, Integer> submitTogether(int controllerIndex, List<JobSpec> specs) {
+    Map<String, Integer> statuses = new LinkedHashMap<>();
+    Controller controller = controllers.get(controllerIndex);
     for (JobSpec spec : specs) {
-      answers.put(spec.id(), 0);
+      statuses.put(spec.id(), 0);
       if (controller != null) {
-        processes.get(to).run(() -> controller.handleFront("POST", "/v1/jobs", Cbor.encode(spec.write()),
-            (status, bytes, r) -> answers.put(spec.id(), status)));
+        processes.get(controllerIndex).run(() -> controller.handleFront("POST", "/v1/jobs", Cbor.encode(spec.write()),
+            (status, bytes, r) -> statuses.put(spec.id(), status)));
       }
     }
-    return answers;
+    return statuses;
   }
 
+  /** Returns the job's published state, "404", or "no answer" after 20 attempts. */
   String state(String id) {
-    ObjectNode[] answer = new ObjectNode[1];
+    ObjectNode[] response = new ObjectNode[1];
     for (int i = 0; i < 20; i++) {
-      int status = call("GET", "/v1/jobs/" + id, new byte[0], answer);
+      int status = callFirstAvailable("GET", "/v1/jobs/" + id, new byte[0], response);
       if (status == 404) {
         return "404";
       }
       if (status == 200) {
-        return answer[0].get("Status").asText();
+        return response[0].get("Status").asText();
       }
     }
     return "no answer";
--- a/src/test/java/io/tansystack/sim/SimEventLoop.java
+++ b/src/test/java/io/tansystack/sim/SimEventLoop.java
@@ -5,16 +5,16 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Simulated time: events run in the order of their moments, and of their making. */
+/** Event loop in simulated time: events run by due time, and in creation order at equal times. */
 public final class SimEventLoop implements EventLoop {
   private static final class Event implements Timer {
     final Duration at;
-    final long order;
+    final long sequence;
     Runnable task;
 
     Event(Duration at, long order, Runnable task) {
       this.at = at;
-      this.order = order;
+      this.sequence = order;
       this.task = task;
     }
 
@@ -26,9 +26,9 @@
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          Comparator.comparing((Event e) -> e.at).thenComparingLong(e -> e.order));
+          Comparator.comparing((Event e) -> e.at).thenComparingLong(e -> e.sequence));
   private Duration now = Duration.ofSeconds(1000);
-  private long made;
+  private long eventCount;
 
   @Override
   public Duration now() {
@@ -37,7 +37,7 @@
 
   @Override
   public Timer after(Duration delay, Runnable task) {
-    Event event = new Event(now.plus(delay.isNegative() ? Duration.ZERO : delay), made++, task);
+    Event event = new Event(now.plus(delay.isNegative() ? Duration.ZERO : delay), eventCount++, task);
     events.add(event);
     return event;
   }
@@ -47,6 +47,7 @@
     after(Duration.ZERO, task);
   }
 
+  /** Runs all events that are due within the given time and advances the clock by it. */
   public void runFor(Duration time) {
     Duration end = now.plus(time);
     while (!events.isEmpty() && events.peek().at.compareTo(end) <= 0) {
@@ -59,12 +60,12 @@
     now = end;
   }
 
-  /** The loop of one process: nothing of it runs after its end. */
+  /** Returns the loop of a new simulated process; once it is killed, none of its tasks run. */
   ProcessLoop process() {
     return new ProcessLoop();
   }
 
-  /** A view of the loop that can be killed without a sign. */
+  /** The event loop of one process, which can be killed or paused without notice. */
   final class ProcessLoop implements EventLoop {
     boolean dead;
     private Duration frozenUntil = Duration.ZERO;
@@ -74,12 +75,12 @@
       return SimEventLoop.this.now();
     }
 
-    /** Stands still for so long while its clock runs on; what was due meanwhile runs afterwards. */
+    /** Pauses the process while the clock runs on; tasks that come due meanwhile run afterwards. */
     void freeze(Duration time) {
       frozenUntil = now().plus(time);
     }
 
-    /** Runs the task in this process: at once, or when it goes on again, or never. */
+    /** Runs the task at once, after the pause if the process is paused, or never if it is dead. */
     void run(Runnable task) {
       if (dead) {
         return;
--- a/src/test/java/io/tansystack/sim/SimFaults.java
+++ b/src/test/java/io/tansystack/sim/SimFaults.java
@@ -4,132 +4,141 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What goes wrong in a simulated cluster: tests switch it on and off at any moment. */
+/**
+ * The faults of a simulated cluster, which tests switch on and off at any moment. Shares are
+ * probabilities from 0 to 1.
+ */
 abstract class SimFaults {
-  /** Whether the state service is away for everybody. */
+  /** Whether the state service is down for all controllers. */
   boolean outage;
 
-  /** The controller that the state service alone refuses; -1 for none. */
-  int refused = -1;
+  /** The only controller that the state service refuses; -1 for none. */
+  int refusedByStore = -1;
 
-  /** Controllers that reach nobody and that nobody reaches, without any error; and those cut from peers. */
-  final Set<Integer> silent = new HashSet<>();
+  /** Controllers whose traffic is dropped in both directions, without any error. */
+  final Set<Integer> isolated = new HashSet<>();
 
-  /** Whether connections between controllers are refused while all else works. */
-  boolean peersRefuse;
+  /** Whether connections between controllers are refused while all other connections work. */
+  boolean refusePeerConnections;
 
-  /** The controller cut off from the workers, both ways; -1 for none. */
-  int deafTo = -1;
+  /** The controller that is cut off from the workers in both directions; -1 for none. */
+  int cutOffFromWorkers = -1;
 
-  /** The zone whose controllers and workers reach one another and nobody else; null for none. */
-  String cutZone;
+  /** The zone whose controllers and workers can only reach each other; null for none. */
+  String partitionedZone;
 
-  /** Workers that no controller hears. */
-  final Set<String> unheard = new HashSet<>();
+  /** Workers whose reports are lost. */
+  final Set<String> reportsBlocked = new HashSet<>();
 
-  /** Workers whose reports arrive, while neither answers nor commands reach them. */
-  final Set<String> unhearing = new HashSet<>();
+  /** Workers whose reports arrive, but which receive neither the responses nor commands. */
+  final Set<String> inboundBlocked = new HashSet<>();
 
-  /** How often a copy of a report comes once more, seconds to minutes later, at any controller. */
-  double copies;
+  /** Share of reports of which a duplicate arrives 2 to 72 s later at any controller. */
+  double duplicateReportShare;
 
-  /** Controllers that have lost the state service and the other controllers, but not users and workers. */
-  final Set<Integer> apart = new HashSet<>();
+  /** Controllers that reach users and workers, but not the state service or other controllers. */
+  final Set<Integer> cutOffFromStoreAndPeers = new HashSet<>();
 
-  /** For how long transactions that delete a machine's record are held up on their way. */
-  Duration deletionsLate = Duration.ZERO;
+  /** By how long transactions that delete a machine's record are delayed. */
+  Duration deletionDelay = Duration.ZERO;
 
-  /** Whether a deletion that is asked for again is refused, while the first may still be under way. */
-  boolean refuseRepeated;
+  /** Whether a repeated deletion is refused, while the first request may still be in flight. */
+  boolean refuseRepeatedDeletions;
 
-  final Set<String> deletions = new HashSet<>();
+  /** Transactions with deletions of machine records that have been requested so far. */
+  final Set<String> requestedDeletions = new HashSet<>();
 
-  /** By how much the time of day of a controller may be wrong, either way; each start draws its own. */
-  Duration clockOff = Duration.ZERO;
+  /** Largest error of a controller's time of day in either direction, drawn at each start. */
+  Duration maxClockError = Duration.ZERO;
 
-  /** How often an answer can't be read, or has a status that nobody knows, though the request was carried out. */
-  double garbled;
+  /** Share of executed requests whose response is unreadable or has a wrong status. */
+  double invalidResponseShare;
 
-  /** How often a machine refuses a launch for want of room, though there is some. */
-  double launchesRefused;
+  /** Share of launches that a machine refuses for lack of capacity although it has enough. */
+  double launchRefusalShare;
 
-  /** Whose answers: "store", "cloud", "workers", "peers", or "" for all. */
-  String garbledBy = "";
+  /** Sender of invalid responses: "store", "cloud", "workers", "peers", or "" for all. */
+  String invalidResponseSource = "";
 
-  /** Only answers to requests to paths of this prefix; and in which of the ways, -1 for any. */
-  String garbledPath = "";
+  /** Only responses to requests whose path has this prefix are invalid. */
+  String invalidResponsePath = "";
 
-  int garbledAs = -1;
+  /** Which kind of invalid response is sent, 0 to 5; -1 for a random one each time. */
+  int invalidResponseVariant = -1;
 
-  /** How often an exchange goes wrong. */
-  double trouble;
+  /** Probability that a request is late, that a response is lost, and that a report is lost. */
+  double exchangeFaultShare;
 
-  /** How often a transaction gets no answer and is carried out 2 to 12 s later, after newer ones. */
-  double lateWrites;
+  /**
+   * Share of transactions that get no response and are executed 2 to 12 s later, after newer ones.
+   */
+  double lateWriteShare;
 
-  /** How often a transaction is carried out at once, while others read it, and only its answer is lost. */
-  double answersLost;
+  /** Share of transactions that are executed and visible at once, but whose response is lost. */
+  double lostResponseShare;
 
-  /** Only transactions that write to keys of this prefix are carried out late, unanswered, or over the limit. */
-  String writeKind = "";
+  /** Only transactions on keys of this prefix are late, without response, or over the limit. */
+  String faultyWritePrefix = "";
 
-  /** Whether such transactions are over the state service's limit: answered 429, each time. */
-  boolean overLimit;
+  /** Whether such transactions exceed the state service's limit: each gets status 429. */
+  boolean writesOverLimit;
 
-  /** Copies of reports are kept until another controller has come to lead, and then all come to that one. */
-  boolean copiesForNext;
+  /** Whether duplicate reports are held until the leader changes, and then sent to the new one. */
+  boolean duplicatesToNextLeader;
 
-  /** How often a rental is carried out and its answer lost. */
-  double rentalsUnanswered;
+  /** Share of rentals that are executed but whose response is lost. */
+  double lostRentalShare;
 
-  /** Zones in which the cloud has no machines left. */
-  final Set<String> full = new HashSet<>();
+  /** Zones in which the cloud has no machines available. */
+  final Set<String> fullZones = new HashSet<>();
 
-  /** For how long new machines are missing from the cloud's list. */
+  /** For how long a new machine is missing from the cloud's list. */
   Duration listLag = Duration.ZERO;
 
-  /** The longest time by which a request to the state service and its answer are held up each. */
-  Duration storeSlow = Duration.ZERO;
+  /** Largest delay of each request to the state service, and of each of its responses. */
+  Duration maxStoreDelay = Duration.ZERO;
 
-  /** By how much longer answers to reads of single keys take, while all else is quick. */
-  Duration slowReads = Duration.ZERO;
+  /** Extra delay of responses to reads of single keys; other requests aren't delayed. */
+  Duration readDelay = Duration.ZERO;
 
-  /** Workers that no direct command reaches, while their reports and the answers to these do. */
-  final Set<String> uncommanded = new HashSet<>();
+  /** Workers that receive no direct commands; their reports and the responses arrive. */
+  final Set<String> commandsBlocked = new HashSet<>();
 
-  /** How often direct commands, and how often their answers, are held up for up to {@link #heldFor}. */
-  double held;
+  /** Share of commands, and of their responses, delayed by up to {@link #maxCommandDelay}. */
+  double delayedCommandShare;
 
-  Duration heldFor = Duration.ofSeconds(20);
+  Duration maxCommandDelay = Duration.ofSeconds(20);
 
-  /** All of it is over. */
-  void calm() {
+  /**
+   * Ends all faults; values that only qualify a fault, and the largest clock error, stay as set.
+   */
+  void clearFaults() {
     outage = false;
-    refused = -1;
-    silent.clear();
-    peersRefuse = false;
-    deafTo = -1;
-    cutZone = null;
-    unheard.clear();
-    unhearing.clear();
-    copies = 0;
-    apart.clear();
-    deletionsLate = Duration.ZERO;
-    refuseRepeated = false;
-    trouble = 0;
-    lateWrites = 0;
-    answersLost = 0;
-    writeKind = "";
-    overLimit = false;
-    copiesForNext = false;
-    rentalsUnanswered = 0;
+    refusedByStore = -1;
+    isolated.clear();
+    refusePeerConnections = false;
+    cutOffFromWorkers = -1;
+    partitionedZone = null;
+    reportsBlocked.clear();
+    inboundBlocked.clear();
+    duplicateReportShare = 0;
+    cutOffFromStoreAndPeers.clear();
+    deletionDelay = Duration.ZERO;
+    refuseRepeatedDeletions = false;
+    exchangeFaultShare = 0;
+    lateWriteShare = 0;
+    lostResponseShare = 0;
+    faultyWritePrefix = "";
+    writesOverLimit = false;
+    duplicatesToNextLeader = false;
+    lostRentalShare = 0;
     listLag = Duration.ZERO;
-    full.clear();
-    storeSlow = Duration.ZERO;
-    slowReads = Duration.ZERO;
-    uncommanded.clear();
-    held = 0;
-    garbled = 0;
-    launchesRefused = 0;
+    fullZones.clear();
+    maxStoreDelay = Duration.ZERO;
+    readDelay = Duration.ZERO;
+    commandsBlocked.clear();
+    delayedCommandShare = 0;
+    invalidResponseShare = 0;
+    launchRefusalShare = 0;
   }
 }
--- a/src/test/java/io/tansystack/sim/SimFleet.java
+++ b/src/test/java/io/tansystack/sim/SimFleet.java
@@ -7,7 +7,7 @@
 import io.tansystack.wire.Cbor;
 import java.time.Duration;
 
-/** The machines of a simulated cluster: how they come, and how their reports and copies of them travel. */
+/** The machines of a simulated cluster, and the delivery of their reports and of duplicates. */
 abstract class SimFleet extends SimNetwork {
   String addWorker(String zone) {
     return addWorker(types.get(0), zone, false);
@@ -18,7 +18,7 @@
     String name = String.format("n-%06d", machineCounter);
     EmulatedWorker worker =
         new EmulatedWorker(
-            this, gangs, name, "127.0.0.1:" + (9000 + machineCounter), offered(type), zone, spot,
+            this, gangs, name, "127.0.0.1:" + (9000 + machineCounter), machineType(type), zone, spot,
             Duration.ofMillis((long) (setting("lease_s") * 1000)));
     machineCounter++;
     workers.put(name, worker);
@@ -36,44 +36,44 @@
     }
     Duration sentAt = loop.now();
     long session = worker.session();
-    boolean[] over = {false};
+    boolean[] finished = {false};
     Controller controller = controllers.get(target(worker));
-    Runnable next = () -> {
+    Runnable tryNextController = () -> {
       target(worker, (target(worker) + 1) % controllerCount);
       loop.after(Duration.ofSeconds(1), () -> report(worker));
     };
     loop.after(Duration.ofSeconds(4), () -> {
-      if (!over[0]) {
-        over[0] = true;
-        next.run();
+      if (!finished[0]) {
+        finished[0] = true;
+        tryNextController.run();
       }
     });
     if (controller == null) {
-      over[0] = true; // Nobody listens where a process has ended.
-      next.run();
+      finished[0] = true; // The process is down: connection refused.
+      tryNextController.run();
       return;
     }
-    if (silent.contains(target(worker))
+    if (isolated.contains(target(worker))
         || cutOff(worker.zone(), zoneOf(target(worker)))
-        || deafTo == target(worker)
-        || unheard.contains(worker.name())
-        || random.nextDouble() < trouble) {
+        || cutOffFromWorkers == target(worker)
+        || reportsBlocked.contains(worker.name())
+        || random.nextDouble() < exchangeFaultShare) {
       return;
     }
-    boolean lost = random.nextDouble() < trouble;
+    boolean lost = random.nextDouble() < exchangeFaultShare;
     byte[] body = Cbor.encode(worker.report().write());
-    if (drawn(copies)) {
-      if (copiesForNext) {
-        copyForNext(body, leader());
+    if (occurs(duplicateReportShare)) {
+      if (duplicatesToNextLeader) {
+        duplicateToNextLeader(body, leader());
       } else {
-        copyLater(body);
+        duplicateLater(body);
       }
     }
     Reply reply = (status, bytes, r) -> {
-      if (over[0] || lost || worker.isDead() || worker.isHung() || unhearing.contains(worker.name())) {
+      if (finished[0] || lost || worker.isDead() || worker.isHung() || inboundBlocked.contains(worker.name())) {
         return;
       }
-      over[0] = true;
+      finished[0] = true;
       if (status == 200) {
         worker.onReportResponse(status, decode(bytes), sentAt, session);
         loop.after(Duration.ofMillis(1500), () -> report(worker));
@@ -81,44 +81,48 @@
         target(worker, Integer.parseInt(decode(bytes).get("Dispatcher").asText().substring(2)));
         loop.after(Duration.ofMillis(300), () -> report(worker));
       } else {
-        next.run();
+        tryNextController.run();
       }
     };
     processes.get(target(worker)).run(() -> controller.handleFront("POST", "/v1/report", body, reply));
   }
 
-  /** From seconds to well over a lease later, and whoever answers, nobody hears it. */
-  private void copyLater(byte[] body) {
+  /**
+   * Delivers a duplicate to a random controller 2 to 72 s later, which may be well over a lease;
+   * the worker doesn't receive the response.
+   */
+  private void duplicateLater(byte[] body) {
     loop.after(
-        Duration.ofMillis(2000 + random.nextInt(70_000)), () -> copyTo(random.nextInt(controllerCount), body));
+        Duration.ofMillis(2000 + random.nextInt(70_000)),
+        () -> deliverDuplicate(random.nextInt(controllerCount), body));
   }
 
-  /** Kept until another controller leads, then it comes there, and soon after to all others. */
-  private void copyForNext(byte[] body, int leader) {
-    if (!copiesForNext) {
+  /** Holds a duplicate until the leader changes; delivers it there and within 3 s to all others. */
+  private void duplicateToNextLeader(byte[] body, int previousLeader) {
+    if (!duplicatesToNextLeader) {
       return;
     }
-    int now = leader();
-    if (now < 0 || now == leader) {
-      loop.after(Duration.ofMillis(50), () -> copyForNext(body, leader));
+    int currentLeader = leader();
+    if (currentLeader < 0 || currentLeader == previousLeader) {
+      loop.after(Duration.ofMillis(50), () -> duplicateToNextLeader(body, previousLeader));
       return;
     }
-    copyTo(now, body);
+    deliverDuplicate(currentLeader, body);
     for (int i = 0; i < controllerCount; i++) {
       int other = i;
-      loop.after(Duration.ofMillis(random.nextInt(3000)), () -> copyTo(other, body));
+      loop.after(Duration.ofMillis(random.nextInt(3000)), () -> deliverDuplicate(other, body));
     }
   }
 
-  /** Who holds the fleet; -1 for nobody. */
+  /** Returns the index of the controller that holds the autoscaler role; -1 for none. */
   int leader() {
     JsonNode fleet = store.value("ts/fleet");
     return fleet == null ? -1 : Integer.parseInt(fleet.get("label").asText().substring(2));
   }
 
-  private void copyTo(int to, byte[] body) {
+  private void deliverDuplicate(int to, byte[] body) {
     Controller controller = controllers.get(to);
-    if (controller != null && !silent.contains(to)) {
+    if (controller != null && !isolated.contains(to)) {
       processes.get(to).run(() -> controller.handleFront("POST", "/v1/report", body, (s, b, r) -> {}));
     }
   }
--- a/src/test/java/io/tansystack/sim/SimNetwork.java
+++ b/src/test/java/io/tansystack/sim/SimNetwork.java
@@ -38,9 +38,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Whole controllers against stand-ins for the state service, the cloud and workers, in simulated
- * time, and what lies between them: the network loses answers, delays requests by up to minutes, and
- * controllers are killed at any moment.
+ * Runs complete controllers against emulations of the state service, the cloud and workers in
+ * simulated time. The simulated network between them loses responses and delays requests by up to
+ * minutes; controllers may be killed at any moment.
  */
 abstract class SimNetwork extends SimFaults implements WorkerEnvironment, MachineProvider {
   static final InetSocketAddress STORE = new InetSocketAddress("127.0.0.1", 2379);
@@ -51,40 +51,38 @@
   final Map<String, EmulatedWorker> workers = new LinkedHashMap<>();
   final Map<Integer, Controller> controllers = new HashMap<>();
   final Map<Integer, SimEventLoop.ProcessLoop> processes = new HashMap<>();
-  final List<String> started = new ArrayList<>();
-  final Set<String> broken = new HashSet<>();
+  final List<String> startedTasks = new ArrayList<>();
+  final Set<String> violations = new HashSet<>();
   Random random = new Random(1);
   int controllerCount = 1;
 
-  /** The platform's settings, of which label, addresses and size are each controller's own. */
+  /** The platform's settings; label, zone, addresses and size are replaced for each controller. */
   String settings = SettingsTest.VALID;
 
   final EmulatedCloud cloud = new EmulatedCloud(loop, this);
-
   final EmulatedGangs gangs = new EmulatedGangs(this);
 
-  /** How many tasks each job has that is a gang. */
+  /** The number of tasks of each gang job, by job ID. */
   final Map<String, Integer> gangSizes = new HashMap<>();
 
-  /** Which controller each worker reports to, by its index. */
+  /** The index of the controller to which each worker reports; 0 if absent. */
   private final Map<EmulatedWorker, Integer> targets = new HashMap<>();
 
-  /** Where machines can be rented; the controllers are in the zone "a". */
+  /** Zones in which machines can be rented; see {@link #controllersInAllZones} for controllers. */
   List<String> zones = List.of("a");
 
-  /** Whether the controllers stand in all zones, one after the other, and not all in the first. */
+  /** Whether controllers are assigned to the zones in turn; otherwise all are in zone "a". */
   boolean controllersInAllZones;
 
-  /** How long a task runs, how long its image takes to come, and how long it saves when it is stopped. */
-  Duration run = Duration.ofSeconds(20);
-
-  Duration fetch = Duration.ZERO;
-  Duration save = Duration.ZERO;
+  /** How long a task runs, its image takes to fetch, and the task saves when it is stopped. */
+  Duration taskRunTime = Duration.ofSeconds(20);
+  Duration imageFetchTime = Duration.ZERO;
+  Duration taskSaveTime = Duration.ZERO;
 
-  /** How long after its rental a machine begins to report. */
+  /** How long after its rental a machine sends its first report. */
   Duration boot = Duration.ofSeconds(5);
 
-  /** Machine types by name, CPUs, accelerators and memory; the cloud offers them in all zones. */
+  /** A machine type that the cloud offers in all zones. */
   record SimType(String name, double cpus, double gpus, double memGb) {}
 
   List<SimType> types = List.of(new SimType("small", 4, 0, 16));
@@ -93,7 +91,7 @@
   private static final double FETCH_GB_PER_S = 1;
   private static final double BOOT_S = 5;
 
-  MachineType offered(SimType type) {
+  MachineType machineType(SimType type) {
     return new MachineType(
         type.name, type.cpus, type.gpus, type.memGb, CACHE_GB, FETCH_GB_PER_S,
         1.0 + type.gpus, 0.3 + type.gpus, BOOT_S, zones);
@@ -101,17 +99,17 @@
 
   @Override
   public List<MachineType> types() {
-    return types.stream().map(this::offered).toList();
+    return types.stream().map(this::machineType).toList();
   }
 
   @Override
   public String rent(MachineType type, String zone, boolean spot) {
-    if (workers.size() >= maxMachines || full.contains(zone)) {
+    if (workers.size() >= maxMachines || fullZones.contains(zone)) {
       return null;
     }
-    SimType wanted =
+    SimType wantedType =
         types.stream().filter(t -> t.name.equals(type.name())).findFirst().orElseThrow();
-    return addWorker(wanted, zone, spot);
+    return addWorker(wantedType, zone, spot);
   }
 
   @Override
@@ -149,17 +147,17 @@
 
   @Override
   public Duration fetchTime(EmulatedWorker worker, String job) {
-    return fetch;
+    return imageFetchTime;
   }
 
   @Override
   public Duration runTime(TaskId task) {
-    return gangSizes.containsKey(task.job()) ? run : runOf(task.toString());
+    return gangSizes.containsKey(task.job()) ? taskRunTime : runTimeOf(task.toString());
   }
 
   @Override
   public Duration saveTime() {
-    return save;
+    return taskSaveTime;
   }
 
   @Override
@@ -178,7 +176,7 @@
 
   @Override
   public boolean refusesLaunch() {
-    return launchesRefused > 0 && random.nextDouble() < launchesRefused;
+    return launchRefusalShare > 0 && random.nextDouble() < launchRefusalShare;
   }
 
   @Override
@@ -193,7 +191,7 @@
 
   @Override
   public void onLaunched(EmulatedWorker worker, TaskId task) {
-    started.add(task + "@" + worker.name());
+    startedTasks.add(task + "@" + worker.name());
   }
 
   @Override
@@ -203,7 +201,7 @@
 
   @Override
   public void onCompletionReported(EmulatedWorker worker, TaskId task) {
-    onCompleted.forEach(told -> told.accept(task.toString()));
+    onCompleted.forEach(listener -> listener.accept(task.toString()));
   }
 
   @Override
@@ -219,15 +217,14 @@
     targets.put(worker, controller);
   }
 
-  /** What users have uploaded: workers fetch descriptions themselves. */
+  /** Job descriptions that users have uploaded, by job ID; workers fetch them from here. */
   final Map<String, JobSpec> uploaded = new HashMap<>();
 
-  /** Told of each change of what is on a machine; and of each task's end with its work done. */
+  /** Called on each change of a machine's tasks, and when a worker reports a task as completed. */
   final List<Runnable> onChange = new ArrayList<>();
-
   final List<Consumer<String>> onCompleted = new ArrayList<>();
 
-  /** Tasks that have completed on some machine. */
+  /** Tasks that have completed on any machine. */
   final Set<String> completed = new HashSet<>();
 
   int machineCounter;
@@ -241,12 +238,14 @@
     return controllersInAllZones ? zones.get(controller % zones.size()) : "a";
   }
 
-  /** Whether what is in one zone does not reach the other; the state service, cloud and users are in none. */
-  boolean cutOff(String one, String other) {
-    return cutZone != null && !one.equals(other) && (cutZone.equals(one) || cutZone.equals(other));
+  /** Whether two zones can't communicate; state service, cloud and users are in the zone "". */
+  boolean cutOff(String zone, String other) {
+    return partitionedZone != null
+        && !zone.equals(other)
+        && (partitionedZone.equals(zone) || partitionedZone.equals(other));
   }
 
-  /** Whether nobody of the region reaches the controller. */
+  /** Whether a zone partition separates the controller from state service, cloud and users. */
   boolean cutOff(int controller) {
     return cutOff(zoneOf(controller), "");
   }
@@ -262,10 +261,10 @@
     return worker == null ? "" : worker.zone();
   }
 
-  PlatformSettings settings(int me) throws Exception {
+  PlatformSettings settings(int index) throws Exception {
     StringBuilder seeds = new StringBuilder();
     for (int i = 0; i < controllerCount; i++) {
-      if (i != me) {
+      if (i != index) {
         seeds.append(
             "[[seeds]]\nlabel = \"c-" + i + "\"\nzone = \"" + zoneOf(i) + "\"\npeer_addr = \"127.0.0.1:"
                 + (port(i) + 1) + "\"\n");
@@ -273,15 +272,15 @@
     }
     return PlatformSettings.parse(
         settings
-            .replace("c-0", "c-" + me)
-            .replace("zone = \"a\"", "zone = \"" + zoneOf(me) + "\"")
-            .replace("127.0.0.1:8080", "127.0.0.1:" + port(me))
-            .replace("127.0.0.1:8081", "127.0.0.1:" + (port(me) + 1))
+            .replace("c-0", "c-" + index)
+            .replace("zone = \"a\"", "zone = \"" + zoneOf(index) + "\"")
+            .replace("127.0.0.1:8080", "127.0.0.1:" + port(index))
+            .replace("127.0.0.1:8081", "127.0.0.1:" + (port(index) + 1))
             .replace("size = 1", "size = " + controllerCount)
             .replace("[services]", seeds + "[services]"));
   }
 
-  /** A number of the settings. */
+  /** Returns a numeric setting; throws if {@link #settings} doesn't contain the key. */
   double setting(String key) {
     Matcher line = Pattern.compile("(?m)^" + key + " = ([0-9.]+)").matcher(settings);
     if (!line.find()) {
@@ -290,19 +289,22 @@
     return Double.parseDouble(line.group(1));
   }
 
-  /** That the rules hold at this moment. */
+  /** Records violations of the rules that must hold at every moment. */
   abstract void check();
 
   void boot(int index) throws Exception {
     SimEventLoop.ProcessLoop process = loop.process();
-    long wrongMs = clockOff.isZero() ? 0 : random.nextLong(-clockOff.toMillis(), clockOff.toMillis() + 1);
+    long clockErrorMs =
+        maxClockError.isZero()
+            ? 0
+            : random.nextLong(-maxClockError.toMillis(), maxClockError.toMillis() + 1);
     Controller controller =
         new Controller(
             process,
-            caller(process, index),
+            httpClient(process, index),
             settings(index),
             OperatorSettings.defaults(),
-            () -> Instant.ofEpochMilli(loop.now().toMillis() + wrongMs),
+            () -> Instant.ofEpochMilli(loop.now().toMillis() + clockErrorMs),
             new Random(random.nextLong()));
     processes.put(index, process);
     controllers.put(index, controller);
@@ -314,134 +316,136 @@
     controllers.remove(index);
   }
 
-  /** Carries requests to the stand-ins and controllers, with delays, losses and late deliveries. */
-  HttpClient caller(SimEventLoop.ProcessLoop from, int index) {
-    return (to, method, path, body, timeout, outcome) -> {
-      if (to.equals(STORE) && (index == refused || outage)) {
-        from.execute(() -> outcome.onResponse(503, Cbor.encode(Cbor.map())));
+  /** Returns a client that applies the current faults to requests and responses of a controller. */
+  HttpClient httpClient(SimEventLoop.ProcessLoop from, int index) {
+    return (to, method, path, body, timeout, handler) -> {
+      if (to.equals(STORE) && (index == refusedByStore || outage)) {
+        from.execute(() -> handler.onResponse(503, Cbor.encode(Cbor.map())));
         return;
       }
-      boolean[] over = {false};
+      boolean[] finished = {false};
       from.after(
           timeout,
           () -> {
-            if (!over[0]) {
-              over[0] = true;
-              outcome.onNoResponse(false);
+            if (!finished[0]) {
+              finished[0] = true;
+              handler.onNoResponse(false);
             }
           });
       int peer = to.getPort() < 9000 && to.getPort() > 8080 ? (to.getPort() - 8080) / 10 : -1;
-      if (peersRefuse && peer >= 0 && !to.equals(CLOUD)) {
+      if (refusePeerConnections && peer >= 0 && !to.equals(CLOUD)) {
         from.execute(() -> {
-          over[0] = true;
-          outcome.onNoResponse(true);
+          finished[0] = true;
+          handler.onNoResponse(true);
         });
         return;
       }
-      if (peer >= 0 && !to.equals(CLOUD) && !controllers.containsKey(peer) && !silent.contains(index)) {
+      if (peer >= 0 && !to.equals(CLOUD) && !controllers.containsKey(peer) && !isolated.contains(index)) {
         from.after(
             Duration.ofMillis(2),
             () -> {
-              over[0] = true;
-              outcome.onNoResponse(true); // Nobody listens where a process has ended.
+              finished[0] = true;
+              handler.onNoResponse(true); // The process is down: refused.
             });
         return;
       }
-      if (silent.contains(index)
+      if (isolated.contains(index)
           || cutOff(zoneOf(index), zoneOf(to, to.equals(CLOUD) ? -1 : peer))
-          || (silent.contains(peer) && !to.equals(CLOUD))
-          || (apart.contains(index) && (to.equals(STORE) || peer >= 0))
-          || (apart.contains(peer) && !to.equals(CLOUD))
-          || (index == deafTo && to.getPort() >= 9000)) {
+          || (isolated.contains(peer) && !to.equals(CLOUD))
+          || (cutOffFromStoreAndPeers.contains(index) && (to.equals(STORE) || peer >= 0))
+          || (cutOffFromStoreAndPeers.contains(peer) && !to.equals(CLOUD))
+          || (index == cutOffFromWorkers && to.getPort() >= 9000)) {
         return;
       }
-      boolean commits = to.equals(STORE) && path.equals("/commit") && body != null && ofKind(body);
-      if (commits && overLimit) {
-        from.after(delay(to), () -> outcome.onResponse(429, Cbor.encode(Cbor.map())));
+      boolean commits = to.equals(STORE) && path.equals("/commit") && body != null && isFaultyWrite(body);
+      if (commits && writesOverLimit) {
+        from.after(delay(to), () -> handler.onResponse(429, Cbor.encode(Cbor.map())));
         return;
       }
-      if (commits && drawn(lateWrites)) {
-        carriedOutLate(decode(body));
+      if (commits && occurs(lateWriteShare)) {
+        commitLate(decode(body));
         return;
       }
       boolean unanswered =
-          commits && drawn(answersLost) || to.equals(CLOUD) && path.equals("/machines") && drawn(rentalsUnanswered);
-      boolean late = random.nextDouble() < trouble;
-      boolean lost = unanswered || random.nextDouble() < trouble;
-      Duration way = late ? Duration.ofMillis(3000 + random.nextInt(40_000)) : delay(to);
-      Duration home = delay(to).plus(path.startsWith("/store/") ? slowReads : Duration.ZERO);
-      BiConsumer<Integer, byte[]> back =
+          commits && occurs(lostResponseShare)
+              || to.equals(CLOUD) && path.equals("/machines") && occurs(lostRentalShare);
+      boolean late = random.nextDouble() < exchangeFaultShare;
+      boolean lost = unanswered || random.nextDouble() < exchangeFaultShare;
+      Duration requestDelay = late ? Duration.ofMillis(3000 + random.nextInt(40_000)) : delay(to);
+      Duration responseDelay = delay(to).plus(path.startsWith("/store/") ? readDelay : Duration.ZERO);
+      BiConsumer<Integer, byte[]> respond =
           (status, answer) ->
-              whenServed(
+              whenWatchServed(
                   index,
                   path,
                   () ->
                       from.after(
-                          home,
+                          responseDelay,
                           () -> {
-                            if (!over[0] && !lost) {
-                              over[0] = true;
-                              garble(to, path, status, answer, outcome);
+                            if (!finished[0] && !lost) {
+                              finished[0] = true;
+                              respondOrCorrupt(to, path, status, answer, handler);
                             }
                           }));
-      loop.after(way, () -> deliver(to, method, path, body, back));
+      loop.after(requestDelay, () -> deliver(to, method, path, body, respond));
     };
   }
 
-  private void garble(
-      InetSocketAddress from,
-      String path,
-      int status,
-      byte[] answer,
-      HttpClient.ResponseHandler outcome) {
-    String who = from.equals(STORE) ? "store" : from.equals(CLOUD) ? "cloud" : from.getPort() >= 9000 ? "workers" : "peers";
-    boolean meant = (garbledBy.isEmpty() || garbledBy.equals(who)) && path.startsWith(garbledPath);
-    if (!meant || !drawn(garbled)) {
-      outcome.onResponse(status, answer);
+  private void respondOrCorrupt(
+      InetSocketAddress from, String path, int status, byte[] answer, HttpClient.ResponseHandler handler) {
+    String source =
+        from.equals(STORE) ? "store" : from.equals(CLOUD) ? "cloud" : from.getPort() >= 9000 ? "workers" : "peers";
+    boolean selected =
+        (invalidResponseSource.isEmpty() || invalidResponseSource.equals(source))
+            && path.startsWith(invalidResponsePath);
+    if (!selected || !occurs(invalidResponseShare)) {
+      handler.onResponse(status, answer);
       return;
     }
-    ObjectNode wrong = Cbor.map().put("Ledger", "x").put("Stamp", -1).put("Berths", 3).put("Berth", 7);
-    wrong.putArray("Pairs").add("none");
-    switch (garbledAs >= 0 ? garbledAs : random.nextInt(6)) {
-      case 0 -> outcome.onResponse(status, new byte[] {(byte) 0xff, 3, 9});
-      case 1 -> outcome.onResponse(status, new byte[0]);
-      case 2 -> outcome.onResponse(status, Cbor.encode(Cbor.map()));
-      case 3 -> outcome.onResponse(status, Cbor.encode(wrong));
-      case 4 -> outcome.onResponse(500, answer);
-      default -> outcome.onResponse(404, Cbor.encode(Cbor.map()));
+    ObjectNode wrongFields = Cbor.map().put("Ledger", "x").put("Stamp", -1).put("Berths", 3).put("Berth", 7);
+    wrongFields.putArray("Pairs").add("none");
+    switch (invalidResponseVariant >= 0 ? invalidResponseVariant : random.nextInt(6)) {
+      case 0 -> handler.onResponse(status, new byte[] {(byte) 0xff, 3, 9});
+      case 1 -> handler.onResponse(status, new byte[0]);
+      case 2 -> handler.onResponse(status, Cbor.encode(Cbor.map()));
+      case 3 -> handler.onResponse(status, Cbor.encode(wrongFields));
+      case 4 -> handler.onResponse(500, answer);
+      default -> handler.onResponse(404, Cbor.encode(Cbor.map()));
     }
   }
 
-  private boolean ofKind(byte[] transaction) {
-    return (overLimit || lateWrites > 0 || answersLost > 0)
-        && decode(transaction).get("Then").toString().contains("\"" + writeKind);
+  private boolean isFaultyWrite(byte[] transaction) {
+    return (writesOverLimit || lateWriteShare > 0 || lostResponseShare > 0)
+        && decode(transaction).get("Then").toString().contains("\"" + faultyWritePrefix);
   }
 
-  boolean drawn(double share) {
-    return share > 0 && random.nextDouble() < share;
+  boolean occurs(double probability) {
+    return probability > 0 && random.nextDouble() < probability;
   }
 
   private Duration delay(InetSocketAddress to) {
-    Duration most = to.equals(STORE) ? storeSlow : to.getPort() >= 9000 && drawn(held) ? heldFor : Duration.ZERO;
-    return most.isZero() ? Duration.ofMillis(2) : Duration.ofMillis(2 + random.nextInt((int) most.toMillis()));
+    Duration maxDelay =
+        to.equals(STORE) ? maxStoreDelay
+            : to.getPort() >= 9000 && occurs(delayedCommandShare) ? maxCommandDelay : Duration.ZERO;
+    return maxDelay.isZero() ? Duration.ofMillis(2) : Duration.ofMillis(2 + random.nextInt((int) maxDelay.toMillis()));
   }
 
-  /** Open watches stay open while the state service is away, or refuses their controller. */
-  private void whenServed(int index, String path, Runnable then) {
-    if (path.startsWith("/watch?") && (outage || refused == index)) {
-      loop.after(Duration.ofMillis(50), () -> whenServed(index, path, then));
+  /** Holds back watch responses while the state service is down or refuses the controller. */
+  private void whenWatchServed(int index, String path, Runnable callback) {
+    if (path.startsWith("/watch?") && (outage || refusedByStore == index)) {
+      loop.after(Duration.ofMillis(50), () -> whenWatchServed(index, path, callback));
     } else {
-      then.run();
+      callback.run();
     }
   }
 
-  /** No answer comes; it is carried out after newer ones, once the state service is there. */
-  private void carriedOutLate(ObjectNode transaction) {
+  /** Commits an unanswered transaction after newer ones, 2 to 12 s late, once the service is up. */
+  private void commitLate(ObjectNode transaction) {
     loop.after(
         Duration.ofMillis(2000 + random.nextInt(10_000)),
         () -> {
           if (outage) {
-            carriedOutLate(transaction);
+            commitLate(transaction);
           } else {
             store.handle("POST", "/commit", transaction, (status, answer) -> {});
           }
@@ -449,20 +453,16 @@
   }
 
   void deliver(
-      InetSocketAddress to,
-      String method,
-      String path,
-      byte[] body,
-      BiConsumer<Integer, byte[]> back) {
-    BiConsumer<Integer, ObjectNode> reply = (status, map) -> back.accept(status, Cbor.encode(map));
+      InetSocketAddress to, String method, String path, byte[] body, BiConsumer<Integer, byte[]> respond) {
+    BiConsumer<Integer, ObjectNode> reply = (status, map) -> respond.accept(status, Cbor.encode(map));
     if (to.equals(STORE)) {
       boolean deletes = path.equals("/commit") && decode(body).toString().contains("\"Delete\":\"ts/machines/");
-      if (deletes && !deletions.add(decode(body).toString()) && refuseRepeated) {
-        back.accept(503, Cbor.encode(Cbor.map()));
+      if (deletes && !requestedDeletions.add(decode(body).toString()) && refuseRepeatedDeletions) {
+        respond.accept(503, Cbor.encode(Cbor.map()));
         return;
       }
       loop.after(
-          deletes ? deletionsLate : Duration.ZERO,
+          deletes ? deletionDelay : Duration.ZERO,
           () -> store.handle(method, path, decode(body), reply));
     } else if (to.equals(CLOUD)) {
       cloud.handle(path, decode(body), reply);
@@ -470,23 +470,23 @@
       for (EmulatedWorker worker : workers.values()) {
         if (worker.address().endsWith(":" + to.getPort())
             && !worker.isDead()
-            && !unhearing.contains(worker.name())
-            && !uncommanded.contains(worker.name())) {
+            && !inboundBlocked.contains(worker.name())
+            && !commandsBlocked.contains(worker.name())) {
           if (worker.isHung()) {
-            loop.after(worker.hungUntil().minus(loop.now()), () -> deliver(to, method, path, body, back));
+            loop.after(worker.hungUntil().minus(loop.now()), () -> deliver(to, method, path, body, respond));
             return;
           }
           int status = worker.handleCommands(decode(body));
           check();
-          back.accept(status, Cbor.encode(worker.report().write()));
+          respond.accept(status, Cbor.encode(worker.report().write()));
         }
       }
     } else {
       Controller controller = controllers.get((to.getPort() - 8080) / 10);
       if (controller != null) {
-        Reply answer = (status, bytes, retry) -> back.accept(status, bytes);
+        Reply peerReply = (status, bytes, retry) -> respond.accept(status, bytes);
         int index = (to.getPort() - 8080) / 10;
-        processes.get(index).run(() -> controller.handlePeer(method, path, body, answer));
+        processes.get(index).run(() -> controller.handlePeer(method, path, body, peerReply));
       }
     }
   }
@@ -499,11 +499,11 @@
     }
   }
 
-  /** How long the task runs. */
-  Duration runOf(String task) {
-    return run;
+  /** Returns how long the task runs. */
+  Duration runTimeOf(String task) {
+    return taskRunTime;
   }
 
-  /** Rents a machine; tells its name. */
+  /** Adds a machine and returns its name. */
   abstract String addWorker(SimType type, String zone, boolean spot);
 }
--- a/src/test/java/io/tansystack/sim/SimUsers.java
+++ b/src/test/java/io/tansystack/sim/SimUsers.java
@@ -11,262 +11,276 @@
 import java.util.function.BiConsumer;
 
 /**
- * Users who submit, poll and cancel as published, at whichever controller the load balancer gives them or
- * at one of their choice, and remember what they were told. They know nothing of the service but its
- * answers; {@link HistoryChecker} says whether these can be.
+ * Users that submit, poll and cancel jobs through the public API, at a random controller as behind
+ * a load balancer or at a given one, and record the responses. They know nothing of the service but
+ * its responses, which {@link HistoryChecker} checks.
  */
 final class SimUsers {
   private static final Duration POLL_EVERY = Duration.ofSeconds(5);
-  private static final Duration AGAIN = Duration.ofSeconds(1);
+  private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
   private static final Duration POLL_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
-  /** Whichever controller the load balancer gives. */
+  /** A random controller, as a load balancer selects it. */
   static final int ANY = -1;
 
-  /** What a user knows of a job, with the moments of the first answers that said so; null for none. */
+  /**
+   * A user's view of a job, with the times of the first responses that reported it; null for none.
+   */
   static final class UserJob {
     final JobSpec spec;
     Duration submitted = Duration.ZERO;
     Duration accepted;
-    boolean asksToCancel;
+    boolean cancelRequested;
     Duration cancelled;
     Duration done;
-    String last;
+    String lastState;
     Duration lastAnswer;
 
-    /** The longest time without an answer since all troubles were over. */
-    Duration longest = Duration.ZERO;
+    /** The longest time without a response since all faults were over. */
+    Duration longestWait = Duration.ZERO;
 
     UserJob(JobSpec spec) {
       this.spec = spec;
     }
 
-    static boolean isOver(String state) {
+    static boolean isTerminal(String state) {
       return state.equals("done") || state.equals("withdrawn");
     }
 
-    boolean over() {
+    boolean isFinished() {
       return done != null || cancelled != null;
     }
 
-    /** What the user has been told up to now. */
-    ObservedState known() {
-      return new ObservedState(accepted != null, over());
+    /** Returns what the user has been told up to now. */
+    ObservedState observed() {
+      return new ObservedState(accepted != null, isFinished());
     }
   }
 
-  /** What any node had told a user of a job when a question was asked. */
-  record ObservedState(boolean accepted, boolean over) {}
+  /** What the user had been told of a job, by any controller, when a request was sent. */
+  record ObservedState(boolean accepted, boolean finished) {}
 
   private final SimCluster cluster;
-  private final HistoryChecker judge;
+  private final HistoryChecker checker;
   final Map<String, UserJob> jobs = new LinkedHashMap<>();
-  private Duration calmSince;
+  private Duration faultsOverSince;
 
-  /** How many answers to questions about jobs they have had. */
-  int answers;
+  /** Number of results of requests about jobs, including timeouts. */
+  int answerCount;
 
-  /** Whether they ask at all nodes within milliseconds once a job was accepted, has ended or is cancelled. */
-  boolean closeLooks;
+  /**
+   * Whether all controllers are queried within ms once a job is accepted, finished or cancelled.
+   */
+  boolean queryAllOnChange;
 
-  /** How often a job is cancelled, and asked about, at the moment at which its last task ends. */
-  double cancelAtEnd;
+  /**
+   * Share of jobs that are cancelled and polled at the moment at which their last task completes.
+   */
+  double cancelAtEndShare;
 
-  private static final int[] CLOSE_MS = {0, 1, 3, 10, 25, 50};
+  private static final int[] QUERY_DELAYS_MS = {0, 1, 3, 10, 25, 50};
 
   SimUsers(SimCluster cluster) {
     this.cluster = cluster;
-    this.judge = new HistoryChecker(cluster, this);
-    cluster.onCompleted.add(this::completed);
+    this.checker = new HistoryChecker(cluster, this);
+    cluster.onCompleted.add(this::onTaskCompleted);
   }
 
-  HistoryChecker judge() {
-    return judge;
+  HistoryChecker checker() {
+    return checker;
   }
 
-  /** All troubles are over: from here on each job is owed an answer. */
-  void calm() {
-    calmSince = cluster.loop.now();
+  /** Marks the end of all faults: from now on requests about each job must be answered in time. */
+  void faultsOver() {
+    faultsOverSince = cluster.loop.now();
   }
 
-  /** Null before. */
-  Duration calmSince() {
-    return calmSince;
+  /** Returns when all faults had ended; null before that. */
+  Duration faultsOverSince() {
+    return faultsOverSince;
   }
 
-  /** The longest time that each accepted job has gone without an answer since then. */
-  Map<String, Duration> waits() {
-    Map<String, Duration> waits = new LinkedHashMap<>();
+  /** Returns the longest time without a response since the end of all faults, per accepted job. */
+  Map<String, Duration> longestWaits() {
+    Map<String, Duration> longestWaits = new LinkedHashMap<>();
     jobs.forEach(
-        (id, told) -> {
-          if (told.accepted != null) {
-            Duration open = sinceAnswer(told);
-            waits.put(id, open.compareTo(told.longest) > 0 ? open : told.longest);
+        (id, job) -> {
+          if (job.accepted != null) {
+            Duration wait = sinceAnswer(job);
+            longestWaits.put(id, wait.compareTo(job.longestWait) > 0 ? wait : job.longestWait);
           }
         });
-    return waits;
+    return longestWaits;
   }
 
-  private Duration sinceAnswer(UserJob told) {
-    Duration from = told.lastAnswer.compareTo(calmSince) > 0 ? told.lastAnswer : calmSince;
-    return cluster.loop.now().minus(from);
+  private Duration sinceAnswer(UserJob job) {
+    Duration start = job.lastAnswer.compareTo(faultsOverSince) > 0 ? job.lastAnswer : faultsOverSince;
+    return cluster.loop.now().minus(start);
   }
 
-  /** Submits until it is accepted, and then asks about it for ever. */
-  void submit(JobSpec spec, int at) {
-    UserJob told = new UserJob(spec);
-    told.submitted = cluster.loop.now();
-    jobs.put(spec.id(), told);
+  /** Submits a job until it is accepted, and then polls it permanently. */
+  void submit(JobSpec spec, int controllerIndex) {
+    UserJob job = new UserJob(spec);
+    job.submitted = cluster.loop.now();
+    jobs.put(spec.id(), job);
     cluster.uploaded.put(spec.id(), spec);
     if (spec.kind() == JobKind.GANG) {
       cluster.gangSizes.put(spec.id(), spec.tasks());
     }
-    submitAgain(told, at);
+    submitAgain(job, controllerIndex);
   }
 
-  private void submitAgain(UserJob told, int at) {
-    ObservedState known = told.known();
-    ask(at, "POST", "/v1/jobs", Cbor.encode(told.spec.write()), TIMEOUT, (status, body) -> {
-      answered(told, known, status, body);
+  private void submitAgain(UserJob job, int controllerIndex) {
+    ObservedState known = job.observed();
+    request(controllerIndex, "POST", "/v1/jobs", Cbor.encode(job.spec.write()), TIMEOUT, (status, body) -> {
+      answered(job, known, status, body);
       if (status == 200 || status == 201) {
-        poll(told);
+        poll(job);
       } else {
-        cluster.loop.after(AGAIN, () -> submitAgain(told, ANY));
+        cluster.loop.after(RETRY_DELAY, () -> submitAgain(job, ANY));
       }
     });
   }
 
-  /** Submits an accepted job once more, whatever the body holds besides its id. */
-  void repeat(UserJob told, int at, byte[] body) {
-    ObservedState known = told.known();
-    ask(at, "POST", "/v1/jobs", body, TIMEOUT, (status, answer) -> answered(told, known, status, answer));
+  /** Submits an accepted job once more; the body may differ from the first in all but the ID. */
+  void resubmit(UserJob job, int controllerIndex, byte[] body) {
+    ObservedState known = job.observed();
+    request(controllerIndex, "POST", "/v1/jobs", body, TIMEOUT,
+        (status, answer) -> answered(job, known, status, answer));
   }
 
-  /** What fits no machine, or lacks a field, is not accepted, and nobody knows of it afterwards. */
-  void submitImpossible(String id, byte[] body) {
-    ask(ANY, "POST", "/v1/jobs", body, TIMEOUT, (status, answer) -> judge.answeredImpossible(id, status));
-    cluster.loop.after(AGAIN, () -> askForNone(id));
+  /**
+   * Submits a job that can't run or lacks a field: it must be rejected, and be unknown afterwards.
+   */
+  void submitInvalid(String id, byte[] body) {
+    request(ANY, "POST", "/v1/jobs", body, TIMEOUT,
+        (status, answer) -> checker.onInvalidSubmissionAnswered(id, status));
+    cluster.loop.after(RETRY_DELAY, () -> pollUnknown(id));
   }
 
-  /** Asks about a job at once at every node, submits it there again, and cancels it again if it was cancelled. */
-  void lookClosely(UserJob told) {
-    byte[] again = Cbor.encode(told.spec.write());
+  /** Polls and resubmits a job at every controller at once, and cancels it again if cancelled. */
+  void queryAllControllers(UserJob job) {
+    byte[] body = Cbor.encode(job.spec.write());
     for (int i = 0; i < cluster.controllerCount; i++) {
-      int node = i;
-      for (int ms : CLOSE_MS) {
-        cluster.loop.after(Duration.ofMillis(ms), () -> pollAt(told, node));
-        cluster.loop.after(Duration.ofMillis(ms), () -> repeat(told, node, again));
+      int index = i;
+      for (int ms : QUERY_DELAYS_MS) {
+        cluster.loop.after(Duration.ofMillis(ms), () -> pollAt(job, index));
+        cluster.loop.after(Duration.ofMillis(ms), () -> resubmit(job, index, body));
       }
-      if (told.cancelled != null) {
-        cluster.loop.after(Duration.ofMillis(node * 7L), () -> cancelOnce(told, node));
+      if (job.cancelled != null) {
+        cluster.loop.after(Duration.ofMillis(index * 7L), () -> cancelOnce(job, index));
       }
     }
   }
 
-  /** A task has ended on its machine; if it was its job's last, some call the job off that very moment. */
-  private void completed(String task) {
-    UserJob told = jobs.get(task.substring(0, task.indexOf('/')));
-    boolean all = told != null && !told.asksToCancel;
-    for (int i = 0; all && i < told.spec.tasks(); i++) {
-      all = cluster.completed.contains(told.spec.id() + "/" + i);
+  /** If this was the last task of its job, cancels some of these jobs within 24 ms. */
+  private void onTaskCompleted(String task) {
+    UserJob job = jobs.get(task.substring(0, task.indexOf('/')));
+    boolean allCompleted = job != null && !job.cancelRequested;
+    for (int i = 0; allCompleted && i < job.spec.tasks(); i++) {
+      allCompleted = cluster.completed.contains(job.spec.id() + "/" + i);
     }
-    if (all && cancelAtEnd > 0 && cluster.random.nextDouble() < cancelAtEnd) {
+    if (allCompleted && cancelAtEndShare > 0 && cluster.random.nextDouble() < cancelAtEndShare) {
       int ms = cluster.random.nextInt(24);
-      cluster.loop.after(Duration.ofMillis(ms), () -> cancel(told.spec.id(), ANY));
-      cluster.loop.after(Duration.ofMillis(cluster.random.nextInt(40)), () -> pollAt(told, ANY));
+      cluster.loop.after(Duration.ofMillis(ms), () -> cancel(job.spec.id(), ANY));
+      cluster.loop.after(Duration.ofMillis(cluster.random.nextInt(40)), () -> pollAt(job, ANY));
     }
   }
 
-  /** Cancels until it is confirmed. */
-  void cancel(String id, int at) {
-    UserJob told = jobs.get(id);
-    told.asksToCancel = true;
-    ObservedState known = told.known();
-    ask(at, "POST", "/v1/jobs/" + id + "/abort", new byte[0], TIMEOUT, (status, body) -> {
-      answered(told, known, status, body);
+  /** Cancels a job, repeatedly until the cancellation is confirmed. */
+  void cancel(String id, int controllerIndex) {
+    UserJob job = jobs.get(id);
+    job.cancelRequested = true;
+    ObservedState known = job.observed();
+    request(controllerIndex, "POST", "/v1/jobs/" + id + "/abort", new byte[0], TIMEOUT, (status, body) -> {
+      answered(job, known, status, body);
       if (status != 200) {
-        cluster.loop.after(AGAIN, () -> cancel(id, ANY));
+        cluster.loop.after(RETRY_DELAY, () -> cancel(id, ANY));
       }
     });
   }
 
-  /** Cancels once more, without insisting; the user has asked for that before, or it is over. */
-  void cancelOnce(UserJob told, int at) {
-    ObservedState known = told.known();
-    ask(at, "POST", "/v1/jobs/" + told.spec.id() + "/abort", new byte[0], TIMEOUT,
-        (status, body) -> answered(told, known, status, body));
+  /**
+   * Sends one cancellation without retries, for a job already cancelled by the user or finished.
+   */
+  void cancelOnce(UserJob job, int controllerIndex) {
+    ObservedState known = job.observed();
+    request(controllerIndex, "POST", "/v1/jobs/" + job.spec.id() + "/abort", new byte[0], TIMEOUT,
+        (status, body) -> answered(job, known, status, body));
   }
 
-  private void poll(UserJob told) {
-    cluster.loop.after(POLL_EVERY, () -> poll(told));
-    pollAt(told, ANY);
+  private void poll(UserJob job) {
+    cluster.loop.after(POLL_EVERY, () -> poll(job));
+    pollAt(job, ANY);
   }
 
-  private void pollAt(UserJob told, int at) {
-    ObservedState known = told.known();
-    ask(at, "GET", "/v1/jobs/" + told.spec.id(), new byte[0], POLL_TIMEOUT,
-        (status, body) -> answered(told, known, status, body));
+  private void pollAt(UserJob job, int controllerIndex) {
+    ObservedState known = job.observed();
+    request(controllerIndex, "GET", "/v1/jobs/" + job.spec.id(), new byte[0], POLL_TIMEOUT,
+        (status, body) -> answered(job, known, status, body));
   }
 
-  /** Asks about a job that nobody has submitted. */
-  void askForNone(String id) {
-    ask(ANY, "GET", "/v1/jobs/" + id, new byte[0], POLL_TIMEOUT, (status, body) -> judge.answerForNone(id, status));
+  /** Polls a job ID that was never accepted. */
+  void pollUnknown(String id) {
+    request(ANY, "GET", "/v1/jobs/" + id, new byte[0], POLL_TIMEOUT,
+        (status, body) -> checker.onUnknownJobAnswered(id, status));
   }
 
   /**
-   * Takes in an answer about a job.
+   * Checks a response about a job and updates the user's view of it.
    *
-   * @param known what the user had been told of it when it asked
+   * @param known what the user had been told of the job when the request was sent
    */
-  void answered(UserJob told, ObservedState known, int status, byte[] body) {
-    answers++;
-    judge.answered(told, known, status, body);
+  void answered(UserJob job, ObservedState known, int status, byte[] body) {
+    answerCount++;
+    checker.onAnswer(job, known, status, body);
     if (status != 200 && status != 201) {
       return;
     }
-    ObservedState before = told.known();
+    ObservedState before = job.observed();
     Duration now = cluster.loop.now();
     ObjectNode map = SimNetwork.decode(body);
     String state = map.path("Status").asText();
-    told.last = told.over() && !UserJob.isOver(state) ? told.last : state;
-    told.accepted = told.accepted == null ? now : told.accepted;
-    told.done = told.done == null && state.equals("done") ? now : told.done;
-    told.cancelled = told.cancelled == null && state.equals("withdrawn") ? now : told.cancelled;
-    if (calmSince != null && told.lastAnswer != null) {
-      Duration wait = sinceAnswer(told);
-      told.longest = wait.compareTo(told.longest) > 0 ? wait : told.longest;
+    job.lastState = job.isFinished() && !UserJob.isTerminal(state) ? job.lastState : state;
+    job.accepted = job.accepted == null ? now : job.accepted;
+    job.done = job.done == null && state.equals("done") ? now : job.done;
+    job.cancelled = job.cancelled == null && state.equals("withdrawn") ? now : job.cancelled;
+    if (faultsOverSince != null && job.lastAnswer != null) {
+      Duration wait = sinceAnswer(job);
+      job.longestWait = wait.compareTo(job.longestWait) > 0 ? wait : job.longestWait;
     }
-    told.lastAnswer = now;
-    if (closeLooks && !told.known().equals(before)) {
-      lookClosely(told);
+    job.lastAnswer = now;
+    if (queryAllOnChange && !job.observed().equals(before)) {
+      queryAllControllers(job);
     }
   }
 
-  /** A request to one controller; status 0 where no answer comes in time. */
-  private void ask(
-      int at, String method, String path, byte[] body, Duration timeout, BiConsumer<Integer, byte[]> then) {
-    boolean[] over = {false};
-    Runnable none = () -> {
-      if (!over[0]) {
-        over[0] = true;
-        then.accept(0, new byte[0]);
+  /** Sends a request to a controller; the callback gets status 0 if no response comes in time. */
+  private void request(
+      int controllerIndex, String method, String path, byte[] body, Duration timeout,
+      BiConsumer<Integer, byte[]> callback) {
+    boolean[] finished = {false};
+    Runnable onNoResponse = () -> {
+      if (!finished[0]) {
+        finished[0] = true;
+        callback.accept(0, new byte[0]);
       }
     };
-    int to = at >= 0 ? at : cluster.random.nextInt(cluster.controllerCount);
-    Controller controller = cluster.controllers.get(to);
+    int target = controllerIndex >= 0 ? controllerIndex : cluster.random.nextInt(cluster.controllerCount);
+    Controller controller = cluster.controllers.get(target);
     if (controller == null) {
-      cluster.loop.execute(none);
+      cluster.loop.execute(onNoResponse);
       return;
     }
-    cluster.loop.after(timeout, none);
-    if (cluster.silent.contains(to) || cluster.cutOff(to)) {
+    cluster.loop.after(timeout, onNoResponse);
+    if (cluster.isolated.contains(target) || cluster.cutOff(target)) {
       return;
     }
-    cluster.processes.get(to).run(() -> controller.handleFront(method, path, body, (status, bytes, retry) -> {
-      if (!over[0] && !cluster.silent.contains(to) && !cluster.cutOff(to)) {
-        over[0] = true;
-        then.accept(status, bytes);
+    cluster.processes.get(target).run(() -> controller.handleFront(method, path, body, (status, bytes, retry) -> {
+      if (!finished[0] && !cluster.isolated.contains(target) && !cluster.cutOff(target)) {
+        finished[0] = true;
+        callback.accept(status, bytes);
       }
     }));
   }
--- a/src/test/java/io/tansystack/sim/SmallJobStreamTest.java
+++ b/src/test/java/io/tansystack/sim/SmallJobStreamTest.java
@@ -25,15 +25,15 @@
         settings
             .replace("cpus_max = 60.0", "cpus_max = 0.0")
             .replace("write_rps = 200.0", "write_rps = " + writesPerSecond + ".0");
-    run = Duration.ofSeconds(6);
+    taskRunTime = Duration.ofSeconds(6);
     start(3, 16);
     store.limits(store.limits().withWrites(writesPerSecond));
-    work(2, 4);
+    submitJobs(2, 4);
     loop.runFor(Duration.ofSeconds(14));
     long before = store.writes("");
     int kept = keptKeys();
     for (int i = 0; i < seconds * PER_SECOND; i++) {
-      String id = id(jobs++);
+      String id = id(jobCount++);
       Duration asked = loop.now();
       users().submit(spec(id, 1), SimUsers.ANY);
       if (i % 4 == 0) {
@@ -41,7 +41,7 @@
             Duration.ofMillis(1200 + random.nextInt(9000)), () -> users().cancel(id, SimUsers.ANY));
       }
       if (leaderEnds && i == seconds * PER_SECOND / 2) {
-        end(Math.max(0, leader()), 3000);
+        restart(Math.max(0, leader()), 3000);
       }
       loop.runFor(Duration.ofMillis(1000 / PER_SECOND));
       assertTrue(
@@ -60,9 +60,9 @@
             .sorted()
             .toList();
     assertTrue(waits.get(waits.size() * 95 / 100) <= (leaderEnds ? 5000 : 500), "accepted within ms: " + waits);
-    allIsWell(streamed + " jobs");
+    assertRecovered(streamed + " jobs");
     assertTrue(keptKeys() <= kept + 8, keptKeys() + " keys are left, " + kept + " before");
-    assertEquals(0, users().judge().lateStarts.stream().filter(s -> s.after().toMillis() > 500).count());
+    assertEquals(0, users().checker().lateStarts.stream().filter(s -> s.after().toMillis() > 500).count());
   }
 
   /** What every start has to read. */
--- a/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
@@ -45,10 +45,10 @@
     ObjectNode[] answer = new ObjectNode[1];
     assertEquals("pending", state("wk-000007"));
     assertEquals("404", state("wk-000099"));
-    assertEquals(404, call("POST", "/v1/jobs/wk-000099/abort", new byte[0], answer));
+    assertEquals(404, callFirstAvailable("POST", "/v1/jobs/wk-000099/abort", new byte[0], answer));
     byte[] other = Cbor.encode(Cbor.map().put("Uid", "wk-000008").put("Wagons", "many"));
-    assertEquals(200, call("POST", "/v1/jobs", other, answer), "whatever the body of a repetition");
-    assertEquals(200, call("POST", "/v1/jobs/wk-000009/abort", new byte[0], answer));
+    assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "whatever the body of a repetition");
+    assertEquals(200, callFirstAvailable("POST", "/v1/jobs/wk-000009/abort", new byte[0], answer));
     assertEquals("withdrawn", state("wk-000009"));
 
     boot(0);
@@ -63,7 +63,7 @@
       assertEquals(
           spec.id().equals("wk-000009") ? "withdrawn" : "done", state(spec.id()), spec.id());
     }
-    assertEquals(JOBS - 1, started.size(), "each was started once, and none that was cancelled");
+    assertEquals(JOBS - 1, startedTasks.size(), "each was started once, and none that was cancelled");
     assertEquals(0, store.keyCount("ts/intake/"), "nothing needs them any more");
   }
 
@@ -105,6 +105,6 @@
     loop.runFor(Duration.ofSeconds(240));
     assertEquals("done", state("wk-000000"));
     assertEquals("done", state("wk-000039"));
-    assertEquals(JOBS, started.size(), "by the description that was accepted first");
+    assertEquals(JOBS, startedTasks.size(), "by the description that was accepted first");
   }
 }
--- a/src/test/java/io/tansystack/sim/SubmissionValidationTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionValidationTest.java
@@ -181,7 +181,7 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 45})
   void whatWasAcceptedIsKnownWhateverARepetitionHolds(int afterS) {
-    run = Duration.ofSeconds(5);
+    taskRunTime = Duration.ofSeconds(5);
     allAnswer("first", good("wk-000001"), 200, 201);
     loop.runFor(Duration.ofSeconds(afterS));
     List<Map<String, Consumer<ObjectNode>>> all = List.of(malformed(), impossible(), possible());
@@ -218,8 +218,8 @@
         loop.runFor(Duration.ofSeconds(4));
       }
       case "state service away" -> outage = true;
-      case "refused alone" -> refused = 1;
-      default -> apart.add(1);
+      case "refused alone" -> refusedByStore = 1;
+      default -> cutOffFromStoreAndPeers.add(1);
     }
     boolean starts = why.equals("just started");
     for (int round = 0; round < 3; round++) {
--- a/src/test/java/io/tansystack/sim/TakeoverTest.java
+++ b/src/test/java/io/tansystack/sim/TakeoverTest.java
@@ -29,7 +29,7 @@
     random = new Random(seconds);
     settings = twoTeams(16, 4, 10);
     types = List.of(new SimType("small", 4, 0, 16), new SimType("large", 8, 4, 32));
-    run = Duration.ofSeconds(12);
+    taskRunTime = Duration.ofSeconds(12);
     start(4, 18);
     for (int i = 0; i < 16; i++) {
       JobKind shape = i % 4 == 3 ? JobKind.GANG : JobKind.ARRAY;
@@ -43,26 +43,26 @@
     for (EmulatedWorker worker : busy.subList(0, busy.size() * 2 / 3)) {
       switch (how) {
         case "hung" -> worker.hangUntil(loop.now().plusSeconds(seconds));
-        case "unheard" -> unheard.add(worker.name());
-        case "unhearing" -> unhearing.add(worker.name());
-        default -> uncommanded.add(worker.name());
+        case "unheard" -> reportsBlocked.add(worker.name());
+        case "unhearing" -> inboundBlocked.add(worker.name());
+        default -> commandsBlocked.add(worker.name());
       }
       worker.liveTasks().forEach(
           task -> users().cancel(task.substring(0, task.indexOf('/')), SimUsers.ANY));
     }
     loop.runFor(Duration.ofMillis(700));
-    strike(change, holder("ts/fleet"), Duration.ofSeconds(12));
+    inject(change, holder("ts/fleet"), Duration.ofSeconds(12));
     for (int i = 0; i < 6; i++) {
       submit(
           i % 2 == 0 ? "vision" : "ops", JobKind.ARRAY, Priority.HIGH, 2, 2, 0, null, false, false);
       loop.runFor(Duration.ofSeconds(2));
     }
     loop.runFor(Duration.ofSeconds(Math.max(1, seconds - 13)));
-    unheard.clear();
-    unhearing.clear();
-    uncommanded.clear();
+    reportsBlocked.clear();
+    inboundBlocked.clear();
+    commandsBlocked.clear();
     loop.runFor(Duration.ofSeconds(20));
-    allIsWell(how + " for " + seconds + " s, " + change);
+    assertRecovered(how + " for " + seconds + " s, " + change);
   }
 
   /**
@@ -84,9 +84,9 @@
   }
 
   private void cancelThroughout(int controllers, String what, String change, Duration lasts) throws Exception {
-    run = Duration.ofSeconds(60);
-    users().closeLooks = true;
-    running(controllers, 16, 40, 1);
+    taskRunTime = Duration.ofSeconds(60);
+    users().queryAllOnChange = true;
+    startWithJobs(controllers, 16, 40, 1);
     int victim = holder(what);
     int[] at = {-2000, -300, -20, -3, 0, 1, 4, 10, 30, 100, 300, 700, 1000, 1500, 2000, 2600, 3300, 4000, 5000, 6500,
         8000, 9000, 9030, 9500, 10_500, 13_000, 16_000, 20_100, 22_000, 25_000};
@@ -100,12 +100,12 @@
       }
     }
     loop.runFor(Duration.ofMillis(2000));
-    strike(change, victim, lasts);
+    inject(change, victim, lasts);
     for (int i = 0; i < 6; i++) {
-      work(1, 2);
+      submitJobs(1, 2);
       loop.runFor(Duration.ofSeconds(5));
     }
-    allIsWell(what + " " + change);
+    assertRecovered(what + " " + change);
   }
 
   /**
@@ -116,28 +116,28 @@
   @CsvSource({"ends, 8", "blinks, 8", "refused, 12", "apart, 20", "silent, 20", "all end, 5", "rolling, 8", "frozen, 9"})
   void oldReportsMeetANewLeader(String change, int seconds) throws Exception {
     random = new Random(seconds);
-    copies = 0.7;
-    copiesForNext = true;
-    run = Duration.ofSeconds(8);
-    running(4, 12, 12, 4);
+    duplicateReportShare = 0.7;
+    duplicatesToNextLeader = true;
+    taskRunTime = Duration.ofSeconds(8);
+    startWithJobs(4, 12, 12, 4);
     for (int round = 0; round < 4; round++) {
-      copiesForNext = true;
-      copies = 0.7;
+      duplicatesToNextLeader = true;
+      duplicateReportShare = 0.7;
       List<EmulatedWorker> all = machines();
       all.get(random.nextInt(all.size())).markDead();
       all.stream().limit(3).forEach(worker -> worker.hangUntil(loop.now().plusSeconds(39))); // A session more.
-      work(4, 3);
-      users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
+      submitJobs(4, 3);
+      users().cancel(id(random.nextInt(jobCount)), SimUsers.ANY);
       loop.runFor(Duration.ofSeconds(30));
-      held = 0.4; // Launches are under way as well.
-      heldFor = Duration.ofSeconds(6);
-      work(3, 2);
+      delayedCommandShare = 0.4; // Launches are under way as well.
+      maxCommandDelay = Duration.ofSeconds(6);
+      submitJobs(3, 2);
       loop.runFor(Duration.ofSeconds(1));
-      strike(change, holder("ts/fleet"), Duration.ofSeconds(seconds));
+      inject(change, holder("ts/fleet"), Duration.ofSeconds(seconds));
       loop.runFor(Duration.ofSeconds(seconds + 12));
-      calm();
+      clearFaults();
     }
-    allIsWell(change);
+    assertRecovered(change);
   }
 
   /** New machines report within two seconds, before records, rental answers and lists tell of them. */
@@ -150,20 +150,20 @@
     random = new Random(bootMs);
     boot = Duration.ofMillis(bootMs);
     listLag = Duration.ofSeconds(lagS);
-    rentalsUnanswered = unanswered;
-    run = Duration.ofSeconds(9);
-    lateWrites = late / 2;
+    lostRentalShare = unanswered;
+    taskRunTime = Duration.ofSeconds(9);
+    lateWriteShare = late / 2;
     start(4, 20);
-    lateWrites = late;
+    lateWriteShare = late;
     for (int round = 0; round < 6; round++) {
-      work(3, 5);
+      submitJobs(3, 5);
       loop.runFor(Duration.ofMillis(300 + random.nextInt(2500)));
-      end(Math.max(0, leader()), new int[] {100, 700, 5000}[round % 3]);
-      users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
+      restart(Math.max(0, leader()), new int[] {100, 700, 5000}[round % 3]);
+      users().cancel(id(random.nextInt(jobCount)), SimUsers.ANY);
       loop.runFor(Duration.ofMillis(4000 + random.nextInt(6000)));
     }
     loop.runFor(Duration.ofSeconds(13));
-    allIsWell("up in " + bootMs + " ms");
+    assertRecovered("up in " + bootMs + " ms");
   }
 
   /**
@@ -174,20 +174,20 @@
   @CsvSource({"store, 0.05", "store, 0.3", "cloud, 0.5", "workers, 0.2", "workers, 0.7", "peers, 0.5", "'', 0.15"})
   void answersThatCannotBeReadProveNothing(String by, double share) throws Exception {
     random = new Random(by.hashCode());
-    users().closeLooks = true;
-    run = Duration.ofSeconds(10);
-    running(3, 14, 6, 3);
-    garbledBy = by;
-    garbled = share;
+    users().queryAllOnChange = true;
+    taskRunTime = Duration.ofSeconds(10);
+    startWithJobs(3, 14, 6, 3);
+    invalidResponseSource = by;
+    invalidResponseShare = share;
     for (int round = 0; round < 6; round++) {
-      work(2, 3);
-      users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
+      submitJobs(2, 3);
+      users().cancel(id(random.nextInt(jobCount)), SimUsers.ANY);
       if (round % 2 == 1) {
-        end(Math.max(0, leader()), 700);
+        restart(Math.max(0, leader()), 700);
       }
       loop.runFor(Duration.ofSeconds(7));
     }
-    allIsWell(by + " " + share);
+    assertRecovered(by + " " + share);
   }
 
   /**
@@ -196,21 +196,21 @@
    */
   @Test
   void aDenialOfAnotherMakingDeniesNoJob() throws Exception {
-    run = Duration.ofSeconds(3);
-    running(3, 8, 8, 1);
+    taskRunTime = Duration.ofSeconds(3);
+    startWithJobs(3, 8, 8, 1);
     loop.runFor(Duration.ofSeconds(60));
     assertTrue(store.keyCount("ts-ended/") >= 8, "put away");
-    end(1, 100);
+    restart(1, 100);
     loop.runFor(Duration.ofSeconds(6));
-    garbledBy = "store";
-    garbledPath = "/store/";
-    garbledAs = 5;
-    garbled = 1;
+    invalidResponseSource = "store";
+    invalidResponsePath = "/store/";
+    invalidResponseVariant = 5;
+    invalidResponseShare = 1;
     for (int job = 0; job < 8; job++) {
-      users().lookClosely(users().jobs.get(id(job)));
+      users().queryAllControllers(users().jobs.get(id(job)));
       loop.runFor(Duration.ofSeconds(3));
     }
-    allIsWell("denials");
+    assertRecovered("denials");
   }
 
   /**
@@ -221,17 +221,17 @@
   @Test
   void launchesAnsweredAsNobodyKnowsMayHaveBeenCarriedOut() throws Exception {
     random = new Random(2);
-    running(3, 14, 3, 1);
-    garbledBy = "workers";
-    garbledAs = 4;
-    garbled = 0.6;
-    launchesRefused = 0.3;
-    run = Duration.ofSeconds(9);
+    startWithJobs(3, 14, 3, 1);
+    invalidResponseSource = "workers";
+    invalidResponseVariant = 4;
+    invalidResponseShare = 0.6;
+    launchRefusalShare = 0.3;
+    taskRunTime = Duration.ofSeconds(9);
     for (int round = 0; round < 25; round++) {
       submit("vision", JobKind.GANG, Priority.NORMAL, 3, 3, 0, null, false, false);
       loop.runFor(Duration.ofMillis(900 + random.nextInt(3000)));
     }
-    allIsWell("launches answered with 500");
+    assertRecovered("launches answered with 500");
   }
 
   /** Back at once, one by one, one alone, in an outage; cancelled before, meanwhile (asked for) and after. */
@@ -239,26 +239,26 @@
   @CsvSource({"38, 0, false", "38, 3000, false", "60, 9000, true", "90, 0, true", "35, 700, true", "45, 25000, false"})
   void allAreAwayForLongerThanALease(int seconds, int apartMs, boolean inOutage) throws Exception {
     random = new Random(seconds);
-    run = Duration.ofSeconds(30);
-    running(4, 14, 20, 2);
+    taskRunTime = Duration.ofSeconds(30);
+    startWithJobs(4, 14, 20, 2);
     for (int i = 0; i < 5; i++) {
       users().cancel(id(i), SimUsers.ANY);
     }
     loop.runFor(Duration.ofMillis(30));
     for (int i = 0; i < 4; i++) {
-      end(i, seconds * 1000 + apartMs * i);
+      restart(i, seconds * 1000 + apartMs * i);
     }
     for (int i = 5; i < 15; i++) {
       String id = id(i);
       loop.after(Duration.ofSeconds(seconds * (i - 5) / 6), () -> users().cancel(id, SimUsers.ANY));
     }
-    work(3, 2);
+    submitJobs(3, 2);
     if (inOutage) {
       loop.after(Duration.ofSeconds(seconds - 5), () -> outage = true);
       loop.after(Duration.ofSeconds(seconds + 9), () -> outage = false);
     }
     loop.runFor(Duration.ofSeconds(seconds + 10).plusMillis(3L * apartMs));
-    allIsWell("all away for " + seconds + " s");
+    assertRecovered("all away for " + seconds + " s");
   }
 
   /** Ten leaders in two minutes, each ends or is back at once; jobs are cancelled, come and end all the time. */
@@ -266,20 +266,20 @@
   @CsvSource({"11, 100, false", "11, 3000, false", "12, 20000, false", "9, 100, true", "12, 4000, true"})
   void leadersChangeTenTimes(int everyS, int backMs, boolean inOutage) throws Exception {
     random = new Random(everyS + backMs);
-    run = Duration.ofSeconds(15);
-    running(5, 16, 10, 3);
-    uncommanded.add(machines().get(0).name()); // Cancelled work must not live on from leader to leader.
+    taskRunTime = Duration.ofSeconds(15);
+    startWithJobs(5, 16, 10, 3);
+    commandsBlocked.add(machines().get(0).name()); // Cancelled work must not live on from leader to leader.
     for (int change = 0; change < 10; change++) {
-      end(Math.max(0, leader()), backMs);
+      restart(Math.max(0, leader()), backMs);
       if (inOutage && change % 4 == 1) {
         outage = true;
         loop.after(Duration.ofSeconds(17), () -> outage = false);
       }
-      work(2, 2);
-      users().cancel(id(random.nextInt(jobs)), SimUsers.ANY);
+      submitJobs(2, 2);
+      users().cancel(id(random.nextInt(jobCount)), SimUsers.ANY);
       loop.runFor(Duration.ofSeconds(everyS));
     }
     loop.runFor(Duration.ofSeconds(20));
-    allIsWell("every " + everyS + " s");
+    assertRecovered("every " + everyS + " s");
   }
 }
--- a/src/test/java/io/tansystack/sim/ZoneFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/ZoneFaultsTest.java
@@ -27,7 +27,7 @@
     random = new Random(seconds);
     zones = List.of("a", "b");
     controllersInAllZones = true;
-    run = Duration.ofSeconds(25);
+    taskRunTime = Duration.ofSeconds(25);
     start(4, 16);
     for (int i = 0; i < 24; i++) {
       submit("vision",
@@ -36,20 +36,20 @@
           1 + i % 3, 1, 0, i % 5 == 0 ? "b" : null, i % 7 == 1, i % 7 == 2);
     }
     loop.runFor(Duration.ofSeconds(14));
-    cutZone = zone;
+    partitionedZone = zone;
     for (int i = 0; i < 12; i++) {
       String id = id(i);
       loop.after(Duration.ofMillis(seconds * 80L * i), () -> users().cancel(id, SimUsers.ANY));
     }
-    work(5, 2);
+    submitJobs(5, 2);
     if (leaderEnds) {
-      loop.after(Duration.ofSeconds(seconds / 2), () -> end(Math.max(0, leader()), 6000));
+      loop.after(Duration.ofSeconds(seconds / 2), () -> restart(Math.max(0, leader()), 6000));
     }
     loop.runFor(Duration.ofSeconds(seconds));
-    cutZone = null;
-    work(3, 2);
+    partitionedZone = null;
+    submitJobs(3, 2);
     loop.runFor(Duration.ofSeconds(15));
-    allIsWell(zone + " cut off for " + seconds + " s");
+    assertRecovered(zone + " cut off for " + seconds + " s");
   }
 
   /**
@@ -60,18 +60,18 @@
   @CsvSource({"6, 4", "33, 4", "35, 8", "37, 4", "45, 100", "100, 5"})
   void machinesThatReachNobodyButTakeCommands(int seconds, int count) throws Exception {
     random = new Random(seconds);
-    run = Duration.ofSeconds(70);
-    running(3, 14, 20, 2);
-    machines().stream().limit(count).forEach(worker -> unheard.add(worker.name()));
+    taskRunTime = Duration.ofSeconds(70);
+    startWithJobs(3, 14, 20, 2);
+    machines().stream().limit(count).forEach(worker -> reportsBlocked.add(worker.name()));
     for (int i = 0; i < 8; i++) {
       String id = id(i);
       loop.after(Duration.ofMillis(seconds * 100L * i), () -> users().cancel(id, SimUsers.ANY));
     }
-    work(4, 2);
+    submitJobs(4, 2);
     loop.runFor(Duration.ofSeconds(seconds));
-    unheard.clear();
+    reportsBlocked.clear();
     loop.runFor(Duration.ofSeconds(10));
-    allIsWell(count + " mute for " + seconds + " s");
+    assertRecovered(count + " mute for " + seconds + " s");
   }
 
   /**
@@ -82,22 +82,22 @@
   @CsvSource({"0, 0", "700, 0", "300, 0.3", "1500, 0.2"})
   void moreWorkThanRoomOverSlowLinks(int slowMs, double late) throws Exception {
     random = new Random(slowMs);
-    run = Duration.ofSeconds(4);
-    storeSlow = Duration.ofMillis(slowMs);
-    held = late;
-    heldFor = Duration.ofSeconds(5);
+    taskRunTime = Duration.ofSeconds(4);
+    maxStoreDelay = Duration.ofMillis(slowMs);
+    delayedCommandShare = late;
+    maxCommandDelay = Duration.ofSeconds(5);
     start(3, 6);
-    users().submit(spec(id(jobs++), 300), SimUsers.ANY);
+    users().submit(spec(id(jobCount++), 300), SimUsers.ANY);
     submit("vision", JobKind.GANG, Priority.LOW, 8, 2, 0, null, false, false);
     for (int round = 0; round < 40; round++) {
       submit("vision", JobKind.ARRAY, Priority.values()[round % 4],
           1 + round % 5, 1 + round % 2, 0, null, false, false);
       if (round % 6 == 0) {
-        users().cancel(id(2 + random.nextInt(jobs - 2)), SimUsers.ANY);
+        users().cancel(id(2 + random.nextInt(jobCount - 2)), SimUsers.ANY);
       }
       loop.runFor(Duration.ofMillis(1500));
     }
-    allIsWell("slow by " + slowMs + " ms");
+    assertRecovered("slow by " + slowMs + " ms");
   }
 
   /**
@@ -109,7 +109,7 @@
   void jobsBoundToOneZoneLoseMachines(int fullS, String change) throws Exception {
     random = new Random(fullS);
     zones = List.of("a", "b");
-    run = Duration.ofSeconds(20);
+    taskRunTime = Duration.ofSeconds(20);
     start(4, 18);
     for (int i = 0; i < 18; i++) {
       JobKind shape = JobKind.values()[i % 3];
@@ -121,15 +121,15 @@
     List<EmulatedWorker> there = machines().stream().filter(worker -> worker.zone().equals("b")).toList();
     assertTrue(there.size() > 2, "machines in the zone");
     there.subList(0, there.size() * 3 / 4).forEach(EmulatedWorker::markDead);
-    full.add("b");
+    fullZones.add("b");
     loop.runFor(Duration.ofSeconds(1));
-    strike(change, holder("ts/fleet"), Duration.ofSeconds(11));
+    inject(change, holder("ts/fleet"), Duration.ofSeconds(11));
     loop.runFor(Duration.ofSeconds(5));
     submit("vision", JobKind.GANG, Priority.NORMAL, 3, 1, 0, "b", false, false);
     loop.runFor(Duration.ofSeconds(fullS));
-    full.clear();
+    fullZones.clear();
     loop.runFor(Duration.ofSeconds(25));
-    allIsWell("the zone is full for " + fullS + " s, " + change);
-    assertEquals(0, users().judge().lateStarts.size(), users().judge().lateStarts.toString());
+    assertRecovered("the zone is full for " + fullS + " s, " + change);
+    assertEquals(0, users().checker().lateStarts.size(), users().checker().lateStarts.toString());
   }
 }
--- a/src/test/java/io/tansystack/sim/ZonePartitionTest.java
+++ b/src/test/java/io/tansystack/sim/ZonePartitionTest.java
@@ -31,13 +31,13 @@
 
   /** Jobs that follow the first ones are short: they keep machines outside rented, so that there is room. */
   @Override
-  Duration runOf(String task) {
+  Duration runTimeOf(String task) {
     int job = Integer.parseInt(task.substring("wk-".length(), task.indexOf('/')));
     return job < JOBS ? LONG_RUN : SHORT_RUN;
   }
 
   private void keepMachinesOutside() {
-    work(SHORT_JOBS, 2);
+    submitJobs(SHORT_JOBS, 2);
     loop.after(SHORT_JOBS_EVERY, this::keepMachinesOutside);
   }
 
@@ -72,9 +72,9 @@
       loop.after(Duration.ofMillis(500 + 200L * i), () -> users().cancel(id, 0));
     }
     loop.runFor(cut);
-    cutZone = null;
+    partitionedZone = null;
     loop.runFor(Duration.ofSeconds(15));
-    assertEquals(Set.of(), users().judge().broken);
+    assertEquals(Set.of(), users().checker().violations);
     long cancelled = users().jobs.values().stream().filter(told -> told.cancelled != null).count();
     assertEquals(CANCELLED, cancelled, "confirmed cancellations");
   }
@@ -91,10 +91,10 @@
     random = new Random(seed);
     workInZoneB(times[0], times[1], 3 + draw.nextInt(5));
     if (draw.nextInt(4) == 0) {
-      strike("all end", 0, Duration.ofSeconds(times[0] + 2L));
+      inject("all end", 0, Duration.ofSeconds(times[0] + 2L));
       loop.runFor(Duration.ofSeconds(times[0] + 20L));
     }
-    copies = draw.nextInt(3) == 0 ? 0.05 : 0;
+    duplicateReportShare = draw.nextInt(3) == 0 ? 0.05 : 0;
     cutZoneB();
     for (int i = 0; i < JOBS; i++) {
       if (draw.nextInt(3) == 0) {
@@ -103,21 +103,21 @@
       }
     }
     if (draw.nextInt(4) == 0) {
-      loop.after(Duration.ofMillis(draw.nextInt(times[0] * 1000)), () -> end(0, 500 + draw.nextInt(5000)));
+      loop.after(Duration.ofMillis(draw.nextInt(times[0] * 1000)), () -> restart(0, 500 + draw.nextInt(5000)));
     }
     // From when the first handover's bound may pass until the last lease that was answered inside has run out.
     loop.runFor(Duration.ofMillis(times[0] * 1000L + 3000 + draw.nextInt(16_000)));
-    held = draw.nextInt(3) == 0 ? 0.5 : 0;
-    heldFor = Duration.ofSeconds(5);
-    cutZone = null;
+    delayedCommandShare = draw.nextInt(3) == 0 ? 0.5 : 0;
+    maxCommandDelay = Duration.ofSeconds(5);
+    partitionedZone = null;
     loop.runFor(Duration.ofMillis(2000 + draw.nextInt(10_000)));
     if (draw.nextInt(3) == 0) {
-      cutZone = "b";
+      partitionedZone = "b";
       loop.runFor(Duration.ofMillis(draw.nextInt(60_000)));
-      cutZone = null;
+      partitionedZone = null;
     }
     loop.runFor(Duration.ofSeconds(15));
-    assertEquals(Set.of(), users().judge().broken);
+    assertEquals(Set.of(), users().checker().violations);
   }
 
   /** Controllers in both zones, and all work on machines in the zone that is to be cut off. */
@@ -129,17 +129,17 @@
             .replace("cancel_s = 61.0", "cancel_s = " + cancel + ".0");
     zones = List.of("a", "b");
     controllersInAllZones = true;
-    full.add("a");
+    fullZones.add("a");
     start(controllers, 32);
-    work(JOBS, 2);
+    submitJobs(JOBS, 2);
     loop.runFor(Duration.ofSeconds(14));
   }
 
   /** Cuts the zone off; from now on machines are rented outside, and kept there. */
   private void cutZoneB() {
-    full.clear();
-    full.add("b");
-    cutZone = "b";
+    fullZones.clear();
+    fullZones.add("b");
+    partitionedZone = "b";
     keepMachinesOutside();
   }
 }
