--- a/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
+++ b/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
@@ -17,16 +17,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The gap: the state service refuses one controller alone; others confirm cancellations to users; then
- * it is away for everybody, while workers go on reporting to the one that never heard of them. What was
- * cancelled is gone within {@code cancel_s} of the answer to its user all the same.
+ * Guards against cancelled work that runs on during an outage: the state service refuses one
+ * controller while the others confirm cancellations to users, and then fails for all controllers.
+ * Workers keep reporting to the refused controller, which has not read the cancellations. Cancelled
+ * work must still be gone within {@code cancel_s} of the response to its user.
  */
 class CancellationDuringOutageTest extends SimCluster {
   private SimUsers users;
   private int jobs;
 
-  /** Half of the jobs have two tasks; none ends by itself while the gap lasts. */
-  private void running(double lease, double cancel, int count) throws Exception {
+  /** Starts jobs, half of them with two tasks; no task completes by itself during the outage. */
+  private void startClusterWithJobs(double lease, double cancel, int count) throws Exception {
     settings =
         SettingsTest.VALID
             .replace("cpus_max = 40.0", "cpus_max = 0.0")
@@ -57,11 +58,14 @@
     return counts.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
   }
 
-  private int leader(String which) {
-    return which.equals("owner") ? ownerOfMost() : holder(which);
+  private int holderOf(String role) {
+    return role.equals("owner") ? ownerOfMost() : holder(role);
   }
 
-  /** At every half second from three seconds before it is refused until the outage, another confirms one. */
+  /**
+   * Cancels one job every half second through one of the other controllers, from three seconds
+   * before the leader is refused until the outage begins.
+   */
   private void cancelThroughOthers(int leader, int from, Duration until) {
     int next = from;
     for (Duration at = Duration.ZERO; at.compareTo(until) < 0; at = at.plusMillis(500)) {
@@ -71,7 +75,11 @@
     }
   }
 
-  private void gap(int leader, int from, Duration alone, Duration outageLasts) {
+  /**
+   * Refuses the leader alone for a while, then makes the state service unavailable to all
+   * controllers.
+   */
+  private void refuseThenOutage(int leader, int from, Duration alone, Duration outageLasts) {
     Duration lead = Duration.ofSeconds(3);
     cancelThroughOthers(leader, from, lead.plus(alone));
     loop.runFor(lead);
@@ -83,23 +91,24 @@
     outage = false;
   }
 
-  private void inTime(String what) {
-    assertEquals(Set.of(), users.checker().violations, what);
+  private void assertCancelledWorkGoneInTime(String context) {
+    assertEquals(Set.of(), users.checker().violations, context);
     assertTrue(
         users.checker().longestRunAfterCancel.compareTo(Duration.ofMillis((long) (setting("cancel_s") * 1000))) <= 0,
-        what + ": " + users.checker().longestRunAfterCancel);
+        context + ": " + users.checker().longestRunAfterCancel);
     assertTrue(
-        users.jobs.values().stream().filter(told -> told.cancelled != null).count() >= 8,
-        what + ": enough was cancelled to be a test");
+        users.jobs.values().stream().filter(job -> job.cancelled != null).count() >= 8,
+        context + ": at least 8 jobs were cancelled");
   }
 
   /**
-   * The outage is from shorter than the controller may act to much longer than {@code cancel_s}, and ends
-   * just before and after each bound; the whole comes twice in a row.
+   * The outage lasts from less than the time for which the controller may act to much longer than
+   * {@code cancel_s}, and ends just before and just after each bound. The whole sequence is run
+   * twice in a row.
    */
   @ParameterizedTest
   @CsvSource({
-    // whom, alone s, outage s, lease, cancel
+    // Refused controller, s refused alone, s of outage, lease_s, cancel_s.
     "ts/fleet, 2,   12,  18, 43",
     "ts/fleet, 2,   17,  18, 43",
     "ts/fleet, 2,   17.6, 18, 43",
@@ -117,24 +126,24 @@
     "owner,    2,   75,  36, 61",
     "owner,    2,   58,  30, 55",
   })
-  void whatOthersCancelledIsGoneInTime(
-      String whom, double alone, double outageS, double lease, double cancel) throws Exception {
-    running(lease, cancel, 76);
+  void workCancelledThroughOtherControllersIsGoneInTime(
+      String target, double alone, double outageS, double lease, double cancel) throws Exception {
+    startClusterWithJobs(lease, cancel, 76);
     Duration lasts = Duration.ofMillis((long) (outageS * 1000));
-    gap(leader(whom), 0, Duration.ofMillis((long) (alone * 1000)), lasts);
+    refuseThenOutage(holderOf(target), 0, Duration.ofMillis((long) (alone * 1000)), lasts);
     loop.runFor(Duration.ofSeconds(4));
-    gap(leader(whom), 38, Duration.ofMillis((long) (alone * 1000)), lasts);
+    refuseThenOutage(holderOf(target), 38, Duration.ofMillis((long) (alone * 1000)), lasts);
     loop.runFor(Duration.ofSeconds(10));
     users.faultsOver();
     loop.runFor(Duration.ofSeconds(130));
     assertEquals(Set.of(), users.checker().finalViolations());
-    inTime(whom + " " + outageS);
+    assertCancelledWorkGoneInTime(target + " " + outageS);
   }
 
   /** The same, with the cancelled tasks in every state that a task can be in. */
   @ParameterizedTest
   @CsvSource({"fetching", "hung", "hung past the lease", "launches held up", "commands held up", "saving"})
-  void inWhateverStateTheTasksAre(String state) throws Exception {
+  void cancelledTasksInAnyStateAreGoneInTime(String state) throws Exception {
     random = new Random(7);
     if (state.equals("fetching")) {
       imageFetchTime = Duration.ofSeconds(120);
@@ -146,7 +155,7 @@
       delayedCommandShare = 0.7;
       maxCommandDelay = Duration.ofSeconds(70);
     }
-    running(18, 43, 40);
+    startClusterWithJobs(18, 43, 40);
     List<EmulatedWorker> all = List.copyOf(workers.values());
     if (state.startsWith("hung")) {
       Duration until = loop.now().plusSeconds(state.equals("hung") ? 14 : 60);
@@ -159,24 +168,25 @@
     if (state.equals("saving")) {
       all.forEach(worker -> worker.reclaimNoticeS(200.0));
     }
-    gap(holder("ts/fleet"), 0, Duration.ofSeconds(2), Duration.ofSeconds(55));
+    refuseThenOutage(holder("ts/fleet"), 0, Duration.ofSeconds(2), Duration.ofSeconds(55));
     delayedCommandShare = 0;
     all.forEach(worker -> worker.reclaimNoticeS(null));
     users.faultsOver();
     loop.runFor(Duration.ofSeconds(130));
     assertEquals(Set.of(), users.checker().finalViolations());
-    inTime(state);
+    assertCancelledWorkGoneInTime(state);
   }
 
   /**
-   * Machines whose reports are heard and answered, while no direct command reaches them. Their leases are
-   * renewed by their owner, so what was cancelled there would go on as long as nobody gets through to them.
-   * One that hears of the cancellation late, since it alone was refused, must not take it for a new one.
+   * Reports of machines arrive and are answered, but no direct command reaches the machines. If
+   * their owner kept renewing their leases, cancelled work there would run until a command got
+   * through. An owner that reads the cancellation late, because the state service refused it alone,
+   * must not treat it as a new one.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 8, 14})
-  void cancelledWorkThatNoCommandReachesIsLeftToItsLease(int refusedFor) throws Exception {
-    running(18, 43, 20);
+  void cancelledWorkUnreachableByCommandsEndsWithItsLease(int refusedFor) throws Exception {
+    startClusterWithJobs(18, 43, 20);
     commandsBlocked.addAll(workers.keySet());
     int owner = ownerOfMost();
     refusedByStore = refusedFor > 0 ? owner : -1;
@@ -186,7 +196,7 @@
     loop.runFor(Duration.ofSeconds(refusedFor));
     refusedByStore = -1;
     loop.runFor(Duration.ofSeconds(50));
-    inTime("commands lost, refused for " + refusedFor + " s");
+    assertCancelledWorkGoneInTime("commands lost, refused for " + refusedFor + " s");
     commandsBlocked.clear();
     users.faultsOver();
     loop.runFor(Duration.ofSeconds(100));
@@ -195,14 +205,15 @@
   }
 
   /**
-   * Launches are held up for very long, and their job is cancelled; the state service's write limit is used up
-   * by others, so that no new claim, whose token would void them, can be written. The reports don't list the
-   * tasks: what may still arrive counts all the same, or they would start when the cancellation is long past.
+   * Launches are delayed for very long and their jobs are cancelled. The state service's write
+   * limit is used up by other writes, so no new claim, whose fencing token would invalidate the
+   * launches, can be written. The reports don't list the tasks. Launches that may still arrive must
+   * count nevertheless: otherwise the tasks would start long after the cancellation.
    */
   @Test
-  void launchesUnderWayAreLeftToTheLeaseToo() throws Exception {
+  void delayedLaunchesOfCancelledJobsEndWithTheLease() throws Exception {
     random = new Random(3);
-    running(18, 43, 10);
+    startClusterWithJobs(18, 43, 10);
     int busy = jobs;
     delayedCommandShare = 1;
     maxCommandDelay = Duration.ofSeconds(100);
@@ -218,7 +229,7 @@
     loop.runFor(Duration.ofSeconds(110));
     writesOverLimit = false;
     delayedCommandShare = 0;
-    inTime("launches held up");
+    assertCancelledWorkGoneInTime("launches held up");
     assertEquals(0, users.checker().lateStarts.stream().filter(s -> s.after().toSeconds() > 43).count());
     users.faultsOver();
     loop.runFor(Duration.ofSeconds(130));
@@ -226,17 +237,18 @@
   }
 
   /**
-   * Controllers start anew ten times and more, always before they would stop answering by themselves, while
-   * no direct command reaches a machine and reports do. A start must not count cancelled work from its own
-   * first reading: each would give it another {@code life}. Clocks are off by as much as the settings allow.
+   * Controllers restart ten times and more, always before they would stop answering reports by
+   * themselves. No direct command reaches a machine, while reports arrive. A restarted controller
+   * must not count the time of cancelled work from its own first read: each restart would extend it
+   * by another {@code life}. Clocks are off by as much as the settings allow.
    */
   @ParameterizedTest
   @CsvSource({"all, 9, 18, 43", "all, 14, 36, 61", "in turn, 3, 18, 43", "in turn, 5, 36, 61", "leader, 8, 36, 61"})
-  void startsInARowGiveCancelledWorkNoMoreTime(String who, int everyS, double lease, double cancel)
+  void repeatedRestartsDoNotExtendCancelledWork(String restarted, int everyS, double lease, double cancel)
       throws Exception {
     random = new Random(everyS);
     maxClockError = Duration.ofMillis(250);
-    running(lease, cancel, 30);
+    startClusterWithJobs(lease, cancel, 30);
     commandsBlocked.addAll(workers.keySet());
     for (int i = 0; i < 12; i++) {
       users.cancel(id(i), i % controllerCount);
@@ -244,14 +256,15 @@
     loop.runFor(Duration.ofSeconds(1));
     for (int round = 0; round * everyS < cancel * 2; round++) {
       for (int i = 0; i < controllerCount; i++) {
-        if (who.equals("all") || i == (who.equals("leader") ? holder("ts/fleet") : round % controllerCount)) {
+        if (restarted.equals("all")
+            || i == (restarted.equals("leader") ? holder("ts/fleet") : round % controllerCount)) {
           kill(i);
           bootAfter(i, Duration.ofMillis(100 + 200L * i));
         }
       }
       loop.runFor(Duration.ofSeconds(everyS));
     }
-    inTime(who + " every " + everyS + " s");
+    assertCancelledWorkGoneInTime(restarted + " every " + everyS + " s");
     commandsBlocked.clear();
     users.faultsOver();
     loop.runFor(Duration.ofSeconds(130));
@@ -259,14 +272,15 @@
   }
 
   /**
-   * The owner of most machines ends for good, and jobs are cancelled at once. Its machines are handed over
-   * when their leases have little time left, and longer after the cancellations than a machine with
-   * cancelled work is answered: that work is stopped first, by commands, and the other work there is kept.
+   * The owner of most machines crashes for good, and jobs are cancelled at once. Its machines fail
+   * over when their leases have little time left, and longer after the cancellations than reports
+   * of a machine with cancelled work are answered. The cancelled work is stopped first, by
+   * commands, and other work on these machines is kept.
    */
   @Test
-  void anOwnersEndAmidCancellationsCostsNoOtherWork() throws Exception {
-    running(36, 61, 60);
-    // A sign of life, from which its workers' leases are reckoned.
+  void ownerCrashDuringCancellationsLosesNoOtherWork() throws Exception {
+    startClusterWithJobs(36, 61, 60);
+    // The latest sign that the owner is alive; the leases of its workers are counted from it.
     users.submit(spec(id(jobs++), 1), SimUsers.ANY);
     loop.runFor(Duration.ofSeconds(1));
     int owner = ownerOfMost();
@@ -275,22 +289,26 @@
       users.cancel(id(i), (owner + 1 + i % 3) % controllerCount);
     }
     loop.runFor(Duration.ofSeconds(60));
-    inTime("its owner ended");
-    assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(), "leases that ran out");
+    assertCancelledWorkGoneInTime("the owner crashed");
+    assertEquals(
+        0,
+        workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(),
+        "tasks lost to expired leases");
     users.faultsOver();
     loop.runFor(Duration.ofSeconds(80));
     assertEquals(Set.of(), users.checker().finalViolations());
   }
 
   /**
-   * All controllers end and are back when the cancellations are older than a machine with cancelled work is
-   * answered, and the machines' leases have little time left: what was cancelled is stopped first.
+   * All controllers crash, and are back when the cancellations are older than the time for which
+   * reports of a machine with cancelled work are answered, and the machines' leases have little
+   * time left. Cancelled work is stopped first.
    */
   @ParameterizedTest
   @ValueSource(ints = {12, 19, 24})
-  void anEndOfAllAmidCancellationsCostsNoOtherWork(int awayS) throws Exception {
-    running(36, 61, 60);
-    commandsBlocked.addAll(workers.keySet()); // Confirmed, and none of it stopped yet.
+  void fullRestartDuringCancellationsLosesNoOtherWork(int downS) throws Exception {
+    startClusterWithJobs(36, 61, 60);
+    commandsBlocked.addAll(workers.keySet()); // Cancellations are confirmed before any task is stopped.
     for (int i = 0; i < 24; i++) {
       users.cancel(id(i), i % controllerCount);
     }
@@ -298,11 +316,14 @@
     commandsBlocked.clear();
     for (int i = 0; i < controllerCount; i++) {
       kill(i);
-      bootAfter(i, Duration.ofSeconds(awayS).plusMillis(300L * i));
+      bootAfter(i, Duration.ofSeconds(downS).plusMillis(300L * i));
     }
     loop.runFor(Duration.ofSeconds(70));
-    inTime("all away for " + awayS + " s");
-    assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(), "leases that ran out");
+    assertCancelledWorkGoneInTime("all controllers down for " + downS + " s");
+    assertEquals(
+        0,
+        workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(),
+        "tasks lost to expired leases");
     users.faultsOver();
     loop.runFor(Duration.ofSeconds(80));
     assertEquals(Set.of(), users.checker().finalViolations());
--- a/src/test/java/io/tansystack/sim/ClusterTest.java
+++ b/src/test/java/io/tansystack/sim/ClusterTest.java
@@ -22,10 +22,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The rules hold under every failure that the stand-ins can cause, and the work is done in the end. */
+/**
+ * Failures of controllers, workers and connections, as the emulators can cause them: no rule is
+ * violated, and all work completes.
+ */
 class ClusterTest extends SimCluster {
   @Test
-  void aJobRunsToItsEndAndIsKnownForEver() throws Exception {
+  void completedJobStaysKnownAfterRestart() throws Exception {
     boot(0);
     loop.runFor(Duration.ofSeconds(2));
     submit("wk-000001", 10);
@@ -38,16 +41,19 @@
     loop.runFor(Duration.ofSeconds(2));
     ObjectNode[] answer = new ObjectNode[1];
     byte[] other = Cbor.encode(Cbor.map().put("Uid", "wk-000001").put("Wagons", "many"));
-    assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "whatever the body of a repetition");
+    assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "a repeated submission is accepted with any body");
     assertEquals("done", answer[0].get("Status").asText());
     assertEquals(200, callFirstAvailable("POST", "/v1/jobs/wk-000001/abort", new byte[0], answer));
     assertEquals("done", answer[0].get("Status").asText());
   }
 
-  /** A description takes an eighth of a value at most; what could never be recorded is refused, not kept. */
+  /**
+   * A description may take at most an eighth of a value of the state service. A job that could
+   * never be recorded is rejected instead of being retried.
+   */
   @ParameterizedTest
   @CsvSource({"16.0,201", "8.0,422"})
-  void aDescriptionThatFitsNoValueIsRefused(String valueKb, int status) throws Exception {
+  void oversizedJobDescriptionIsRejected(String valueKb, int status) throws Exception {
     settings = SettingsTest.VALID.replace("value_kb = 16.0", "value_kb = " + valueKb);
     boot(0);
     loop.runFor(Duration.ofSeconds(2));
@@ -61,7 +67,7 @@
   }
 
   @Test
-  void cancelledWorkIsGoneAndStaysCancelled() throws Exception {
+  void cancelledJobStopsAndStaysCancelled() throws Exception {
     boot(0);
     loop.runFor(Duration.ofSeconds(2));
     submit("wk-000001", 6);
@@ -76,11 +82,11 @@
   }
 
   /**
-   * A start of a controller gives its machines a higher token by itself. Claiming hundreds of them
-   * again would use up the write limit while users wait.
+   * The restart of a controller by itself gives its machines a higher fencing token. Claiming
+   * hundreds of machines again would use up the write limit while users wait.
    */
   @Test
-  void aRestartOfAllNeedsNoClaimsAndTheWorkGoesOn() throws Exception {
+  void fullRestartNeedsNoClaimsAndWorkContinues() throws Exception {
     controllerCount = 3;
     for (int i = 0; i < 3; i++) {
       boot(i);
@@ -103,16 +109,18 @@
     loop.runFor(Duration.ofSeconds(12));
     assertEquals(writes, store.writes("ts/machines/") + store.writes("ts/lots/"));
     for (EmulatedWorker worker : workers.values()) {
-      assertTrue(worker.token() > before.get(worker.name()), "told apart from the earlier start");
+      assertTrue(worker.token() > before.get(worker.name()), "the token is higher than before the restart");
     }
     loop.runFor(Duration.ofSeconds(120));
     assertEquals("done", state("wk-000001"));
     assertEquals(40, startedTasks.size(), "nothing was lost and nothing ran twice");
   }
 
-  /** Its peers take its slots long before its lease of 17.5 s has ended. */
+  /**
+   * The peers take over the slots of the refused controller long before its lease of 17.5 s ends.
+   */
   @Test
-  void theSlotsOfOneThatTheStateServiceRefusesAreTakenSoon() throws Exception {
+  void slotsOfControllerRefusedByStateServiceAreTakenOver() throws Exception {
     controllerCount = 3;
     for (int i = 0; i < 3; i++) {
       boot(i);
@@ -124,7 +132,7 @@
     assertEquals(0, slotsOf("c-1"));
     refusedByStore = -1;
     loop.runFor(Duration.ofSeconds(30));
-    assertTrue(slotsOf("c-1") > 0, "it gets its share back");
+    assertTrue(slotsOf("c-1") > 0, "the controller gets slots back");
   }
 
   private void bootThreeWithWork(int tasks) throws Exception {
@@ -138,25 +146,26 @@
   }
 
   /**
-   * It holds the fleet, stands still and goes on. Others take over its slots and workers in time for
-   * their leases; on waking it must neither judge its machines by a silence that was its own, nor
-   * return those that others have taken over since.
+   * The process of the autoscaler pauses and resumes. The other controllers take over its slots and
+   * workers before the workers' leases end. After the pause it must neither treat its machines as
+   * silent, since it was itself that did not run, nor return machines that others have taken over
+   * meanwhile.
    */
   @ParameterizedTest
   @ValueSource(ints = {2, 9, 18, 30, 60})
-  void aControllerThatStandsStillCostsNoWork(int seconds) throws Exception {
+  void pausedControllerLosesNoWork(int seconds) throws Exception {
     bootThreeWithWork(60);
     Set<String> before = Set.copyOf(workers.keySet());
     int victim = holder("ts/fleet");
     processes.get(victim).freeze(Duration.ofSeconds(seconds));
     loop.runFor(Duration.ofSeconds(15));
     if (seconds > 12) {
-      assertEquals(0, slotsOf("c-" + victim), "its slots are taken soon");
+      assertEquals(0, slotsOf("c-" + victim), "its slots are taken over within 15 s");
     }
     loop.runFor(Duration.ofSeconds(seconds));
     check();
     if (seconds <= 30) {
-      assertTrue(workers.keySet().containsAll(before), "no machine is returned for it");
+      assertTrue(workers.keySet().containsAll(before), "no machine is returned because of the pause");
     }
     loop.runFor(Duration.ofSeconds(220));
     assertEquals("done", state("wk-000001"));
@@ -164,9 +173,12 @@
     assertEquals(Set.of(), violations);
   }
 
-  /** No answer and no error, for longer than the workers' leases: the others carry all of it on. */
+  /**
+   * A controller neither responds nor refuses connections for longer than the workers' leases. The
+   * other controllers take over all its work.
+   */
   @Test
-  void aSilentControllerCostsNoWork() throws Exception {
+  void unresponsiveControllerLosesNoWork() throws Exception {
     bootThreeWithWork(60);
     int victim = holder("ts/fleet");
     isolated.add(victim);
@@ -179,15 +191,18 @@
     assertEquals(Set.of(), violations);
   }
 
-  /** Workers alone can't reach it; it must not hold their work, nor have them returned as silent. */
+  /**
+   * Only the workers can't reach a controller. It must release them with their work, and must not
+   * return their machines as silent.
+   */
   @Test
-  void aControllerThatWorkersCanNotReachGivesThemUp() throws Exception {
+  void controllerUnreachableByWorkersReleasesThem() throws Exception {
     maxMachines = 18;
     bootThreeWithWork(100);
     Set<String> before = Set.copyOf(workers.keySet());
     cutOffFromWorkers = holder("ts/fleet");
     loop.runFor(Duration.ofSeconds(22));
-    assertTrue(workers.keySet().containsAll(before), "none is returned as silent");
+    assertTrue(workers.keySet().containsAll(before), "no machine is returned as silent");
     loop.runFor(Duration.ofSeconds(20));
     cutOffFromWorkers = -1;
     loop.runFor(Duration.ofSeconds(200));
@@ -196,23 +211,24 @@
   }
 
   /**
-   * Workers are not heard for longer than their leases, and come back while the deletion of their
-   * records is still on its way. What starts on them then must not count as gone with these records.
-   * After a cut-off controller's return on the fleet site's day "zone", tasks ran on two machines.
+   * Reports of workers are lost for longer than their leases, and arrive again while the deletion
+   * of their records is still in flight. Tasks that start on the workers then must not be treated
+   * as ended by that deletion. This once made tasks run on two machines, after the return of a
+   * controller that had been cut off, in the scenario "zone" of the fleet site.
    */
   @ParameterizedTest
   @CsvSource({"1,false", "4,false", "5,false", "6,false", "8,false", "11,false", "8,true", "11,true"})
-  void whoComesBackWhileDeclaredGoneStartsNothingTwice(int late, boolean refused) throws Exception {
+  void machineReturningWhileDeclaredGoneStartsNothingTwice(int deletionDelayS, boolean refused) throws Exception {
     boot(0);
     loop.runFor(Duration.ofSeconds(12));
     submit("wk-000001", 60);
     loop.runFor(Duration.ofSeconds(15));
     cutOffFromWorkers = 0;
-    deletionDelay = Duration.ofSeconds(late);
+    deletionDelay = Duration.ofSeconds(deletionDelayS);
     refuseRepeatedDeletions = refused;
     loop.runFor(Duration.ofSeconds(38));
     cutOffFromWorkers = -1;
-    // Some are heard again later: what ran elsewhere by then would go there a second time.
+    // Some reports arrive only later: tasks restarted elsewhere by then would be running twice.
     reportsBlocked.addAll(List.of("n-000000", "n-000001", "n-000002", "n-000003"));
     loop.runFor(Duration.ofSeconds(4));
     reportsBlocked.clear();
@@ -221,14 +237,17 @@
     assertEquals("done", state("wk-000001"));
   }
 
-  /** A packet filter between controllers that are all well: they must not go on taking each other's. */
+  /**
+   * A packet filter refuses connections between healthy controllers. They must not keep taking
+   * slots from each other.
+   */
   @Test
-  void refusedConnectionsBetweenControllersMakeNoStormOfClaims() throws Exception {
+  void refusedPeerConnectionsCauseNoClaimStorm() throws Exception {
     bootThreeWithWork(40);
     long before = slotWrites();
     refusePeerConnections = true;
     loop.runFor(Duration.ofSeconds(25));
-    assertTrue(slotWrites() - before <= 40, "claims of slots: " + (slotWrites() - before));
+    assertTrue(slotWrites() - before <= 40, "writes to slots: " + (slotWrites() - before));
     refusePeerConnections = false;
     loop.runFor(Duration.ofSeconds(150));
     assertEquals("done", state("wk-000001"));
@@ -239,12 +258,13 @@
   }
 
   /**
-   * Three controllers place for the same team at once, with twice the room that its limit allows. Each
-   * writes several jobs a transaction, and the team's record once for all of them.
+   * Three controllers place tasks of the same team at once, on machines with twice the capacity
+   * that the team's limit allows. Each transaction writes several jobs, and the team's record once
+   * for all of them.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void aTeamStaysWithinItsLimitWhoeverPlaces(long seed) throws Exception {
+  void teamStaysWithinLimitWithSeveralPlanners(long seed) throws Exception {
     random = new Random(seed);
     maxMachines = 20;
     controllerCount = 3;
@@ -259,7 +279,7 @@
           burst.add(spec("wk-" + round + to + "000" + j, 3 + random.nextInt(6)));
         }
         submitTogether(to, burst);
-        // One that has stood still plans from a copy that lacks what the others have placed meanwhile.
+        // A paused controller plans with a cache that lacks what the others have placed meanwhile.
         processes.get(random.nextInt(3)).freeze(Duration.ofMillis(random.nextInt(1400)));
       }
       loop.runFor(Duration.ofMillis(random.nextInt(9000)));
@@ -267,12 +287,15 @@
     }
     loop.runFor(Duration.ofSeconds(30));
     assertEquals(Set.of(), violations);
-    assertTrue(startedTasks.size() > 100, "it was used: " + startedTasks.size());
+    assertTrue(startedTasks.size() > 100, "tasks started: " + startedTasks.size());
   }
 
-  /** On a large fleet one controller has all duties, whoever claimed them first, and another after its end. */
+  /**
+   * On a large fleet one controller holds all roles, regardless of which controllers claimed them
+   * first. After its crash another controller holds them all.
+   */
   @Test
-  void onALargeFleetOneHasAllDuties() throws Exception {
+  void oneControllerHoldsAllRolesOnLargeFleet() throws Exception {
     settings = SettingsTest.VALID.replace("cpus_max = 40.0", "cpus_max = 0.0");
     maxMachines = 200;
     bootThreeWithWork(800);
@@ -282,16 +305,18 @@
     kill(holder("ts/fleet"));
     loop.runFor(Duration.ofSeconds(15));
     String next = "c-" + holder("ts/fleet");
-    assertTrue(!next.equals(planner), next + " plans");
+    assertTrue(!next.equals(planner), next + " is another controller");
     assertEquals(12, slotsOf(next));
     boot(Integer.parseInt(planner.substring(2)));
     loop.runFor(Duration.ofSeconds(30));
-    assertEquals(12, slotsOf(next), "a return moves nothing");
+    assertEquals(12, slotsOf(next), "the return of a controller moves no slot");
   }
 
-  /** Nothing is held back to keep its sender waiting: who can't be served is told so at once. */
+  /**
+   * A controller that the state service refuses responds 503 at once and does not let users wait.
+   */
   @Test
-  void usersOfOneThatTheStateServiceRefusesAreAnsweredAtOnce() throws Exception {
+  void controllerRefusedByStateServiceAnswersUsersAtOnce() throws Exception {
     controllerCount = 2;
     boot(0);
     boot(1);
--- a/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
@@ -18,21 +18,22 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Two troubles that meet, each meeting of the operators' page; {@link
- * CancellationDuringOutageTest} has the one that broke most, docs/meetings.md tells which test
- * causes what. {@link HistoryChecker} sees the whole history.
+ * Pairs of faults at the same time, one test for each pair that operators have listed;
+ * docs/meetings.md maps pairs to tests. {@link CancellationDuringOutageTest} has the pair that
+ * found most faults. {@link HistoryChecker} checks the whole history of each run.
  */
 class CombinedFaultsTest extends FaultScenario {
   /**
-   * Commands, or their answers, are held up for shorter and longer than the owner waits for them, while the
-   * machine is claimed anew, handed to an heir, begins a new session, or is given the same task again.
+   * Commands, or their responses, are delayed for less and for more than the owner's timeout, while
+   * the machine is reclaimed, fails over to a successor, begins a new session, or gets the same
+   * task again.
    */
   @ParameterizedTest
   @CsvSource({
     "9,  nothing", "30, nothing", "9,  heir", "30, heir", "70, heir", "30, session", "70, session", "30, restart",
     "70, cancel"
   })
-  void commandsAndAnswersHeldUp(int seconds, String meanwhile) throws Exception {
+  void delayedCommandsAndResponses(int seconds, String meanwhile) throws Exception {
     random = new Random(seconds);
     startWithJobs(3, 14, 6, 8);
     delayedCommandShare = 0.6;
@@ -68,10 +69,13 @@
     assertRecovered(seconds + " s, " + meanwhile);
   }
 
-  /** The state service is slow, then refuses the leader, then everybody, while users cancel and ask. */
+  /**
+   * The state service is slow, then refuses the leader, then all controllers, while users cancel
+   * jobs and ask about an unknown one.
+   */
   @ParameterizedTest
   @CsvSource({"300, 10", "900, 20", "1500, 65", "1900, 30", "3000, 65"})
-  void slowThenRefusingOneThenAll(int slowMs, int outageS) throws Exception {
+  void stateServiceSlowThenRefusesLeaderThenAll(int slowMs, int outageS) throws Exception {
     random = new Random(slowMs);
     startWithJobs(4, 14, 20, 2);
     taskRunTime = Duration.ofSeconds(90);
@@ -94,11 +98,13 @@
   }
 
   /**
-   * A job is submitted once more while another controller cancels it, and single reads take a second: what
-   * was read before the cancellation is answered after its confirmation, and the copy has shown that by then.
+   * A job is submitted again while another controller cancels it, and reads of single keys take a
+   * second. The read executed before the cancellation returns after its confirmation, when the
+   * controller's cache already shows the cancellation. The response must not be older than the
+   * cache.
    */
   @Test
-  void whatIsReadSlowlyIsNoOlderThanTheCopy() throws Exception {
+  void slowReadIsNoOlderThanLocalCache() throws Exception {
     startWithJobs(3, 14, 10, 2);
     taskRunTime = Duration.ofSeconds(90);
     readDelay = Duration.ofSeconds(1);
@@ -115,10 +121,13 @@
     assertRecovered("slow reads");
   }
 
-  /** There and back: the leader ends and is back within the time, so does the next one, then all but one. */
+  /**
+   * The leader crashes and restarts after the given time, then so does the next one, four times in
+   * all. Then all controllers crash, and all but one come back 15 to 40 s later than the first.
+   */
   @ParameterizedTest
   @CsvSource({"30, 0", "300, 0", "900, 0.3", "1500, 0", "3000, 0.3", "9000, 0.2", "20000, 0"})
-  void handOverAndBack(int backMs, double late) throws Exception {
+  void leadershipMovesAndReturns(int backMs, double late) throws Exception {
     random = new Random(backMs);
     startWithJobs(4, 14, 8, 5);
     lateWriteShare = late;
@@ -136,44 +145,46 @@
   }
 
   /**
-   * Of one kind of write most get no answer and are carried out late, after newer ones, while jobs are
-   * accepted, placed, cancelled and end, machines come, go and change hands, and controllers start anew.
+   * Many writes to keys of one prefix get no response and are executed late, after newer ones.
+   * Meanwhile jobs are accepted, placed, cancelled and completed, machines come, go and change
+   * owner, and controllers restart.
    */
   @ParameterizedTest
-  @MethodSource("kindsOfKeys")
-  void writesCarriedOutLate(String kind) throws Exception {
-    unansweredWritesOf(kind, 0.15, false);
+  @MethodSource("keyPrefixes")
+  void writesExecutedLate(String keyPrefix) throws Exception {
+    runSeedsOfUnansweredWrites(keyPrefix, 0.15, false);
   }
 
   /**
-   * The same, carried out at once: others read what was written and build on it at once, users look closely at
-   * all nodes, and whoever wrote knows of nothing and tries again, or ends.
+   * Like {@link #writesExecutedLate}, but the writes are executed at once and only their responses
+   * are lost. Other controllers read and use what was written, users query all nodes at short
+   * intervals, and the writer does not know the outcome and retries, or crashes.
    */
   @ParameterizedTest
-  @MethodSource("kindsOfKeys")
-  void writesOfWhichOnlyTheAnswerIsLost(String kind) throws Exception {
-    unansweredWritesOf(kind, 0.25, true);
+  @MethodSource("keyPrefixes")
+  void writesWithLostResponses(String keyPrefix) throws Exception {
+    runSeedsOfUnansweredWrites(keyPrefix, 0.25, true);
   }
 
-  /** All of them, and one that names any. */
-  static List<String> kindsOfKeys() {
+  /** All prefixes of keys; the empty one stands for every key. */
+  static List<String> keyPrefixes() {
     return List.of(
         "ts/jobs/", "ts/intake/", "ts/lots/", "ts/machines/", "ts/heirs/", "ts/controllers/", "ts/slots/", "ts/fleet",
         "ts/teams/", "ts/rentals", "ts/types", "ts-ended/", "");
   }
 
-  private static void unansweredWritesOf(String kind, double least, boolean atOnce) throws Exception {
+  private static void runSeedsOfUnansweredWrites(String keyPrefix, double baseShare, boolean atOnce) throws Exception {
     for (int seed = 1; seed <= 3; seed++) {
-      CombinedFaultsTest anew = new CombinedFaultsTest();
-      anew.random = new Random(seed);
-      anew.users().queryAllOnChange = atOnce;
-      anew.playUnanswered(kind, least + 0.25 * seed, atOnce);
+      CombinedFaultsTest test = new CombinedFaultsTest();
+      test.random = new Random(seed);
+      test.users().queryAllOnChange = atOnce;
+      test.runUnansweredWrites(keyPrefix, baseShare + 0.25 * seed, atOnce);
     }
   }
 
-  private void playUnanswered(String kind, double share, boolean atOnce) throws Exception {
-    faultyWritePrefix = kind;
-    lateWriteShare = atOnce ? 0 : share / 2; // So that a cluster comes to be at all.
+  private void runUnansweredWrites(String keyPrefix, double share, boolean atOnce) throws Exception {
+    faultyWritePrefix = keyPrefix;
+    lateWriteShare = atOnce ? 0 : share / 2; // Fewer faults until the cluster has started.
     lostResponseShare = atOnce ? share / 2 : 0;
     startWithJobs(4, 16, 12, 3);
     lateWriteShare = atOnce ? 0 : share;
@@ -190,19 +201,20 @@
       loop.runFor(Duration.ofMillis(500 + random.nextInt(9000)));
     }
     loop.runFor(Duration.ofSeconds(13));
-    assertRecovered((atOnce ? "unanswered " : "late ") + kind + " " + share);
+    assertRecovered((atOnce ? "lost responses " : "late writes ") + keyPrefix + " " + share);
   }
 
   /**
-   * A leader has nothing left but its workers and users, and jobs are cancelled through others, and through
-   * itself once it is back: before, when and after it may no longer act, and after its workers' leases.
+   * A leader loses the state service and its peers but keeps its workers and users. Jobs are
+   * cancelled through other controllers and through the leader itself: before, when and after its
+   * own lease ends, and after the leases of its workers.
    */
   @ParameterizedTest
   @CsvSource({"5, 0", "16, 0", "17, 0.4", "25, 0", "45, 0.4", "70, 0"})
-  void aLeaderApartWhileOthersCancel(int seconds, double copied) throws Exception {
+  void isolatedLeaderWhileOthersCancel(int seconds, double copyShare) throws Exception {
     random = new Random(seconds);
     taskRunTime = Duration.ofSeconds(100);
-    duplicateReportShare = copied;
+    duplicateReportShare = copyShare;
     startWithJobs(4, 14, 24, 2);
     int leader = holder("ts/fleet");
     cutOffFromStoreAndPeers.add(leader);
@@ -217,17 +229,17 @@
     loop.runFor(Duration.ofSeconds(seconds));
     cutOffFromStoreAndPeers.clear();
     loop.runFor(Duration.ofSeconds(3));
-    assertRecovered("apart for " + seconds + " s");
+    assertRecovered("isolated for " + seconds + " s");
     assertTrue(users().checker().longestRunAfterCancel.compareTo(Duration.ofSeconds(61)) <= 0);
   }
 
   /**
-   * Of two or three tasks one ends before, one while and one long after their leader changes; gangs of as
-   * many gather, run and end meanwhile.
+   * Of a job's two or three tasks one completes before, one during and one long after a change of
+   * leader. Gangs of the same sizes gather, run and complete meanwhile.
    */
   @ParameterizedTest
   @CsvSource({"ends", "back at once", "refused", "apart", "frozen", "all end", "silent"})
-  void tasksThatEndFarApartAcrossAChangeOfLeader(String change) throws Exception {
+  void tasksEndingFarApartAcrossLeaderChange(String change) throws Exception {
     random = new Random(change.hashCode());
     unevenRunTimes = true;
     taskRunTime = Duration.ofSeconds(12);
@@ -258,22 +270,23 @@
       submitJobs(3, 3);
     }
     assertRecovered(change);
-    int tasks = users().jobs.values().stream().mapToInt(told -> told.spec.tasks()).sum();
+    int tasks = users().jobs.values().stream().mapToInt(job -> job.spec.tasks()).sum();
     int lost = workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum();
-    assertTrue(startedTasks.size() <= tasks + lost, startedTasks.size() + " starts of " + tasks + ", " + lost + " lost");
-    assertEquals(tasks, new HashSet<>(completed).size(), "none is lost and none is done twice");
+    assertTrue(startedTasks.size() <= tasks + lost, startedTasks.size() + " starts for " + tasks + " tasks, " + lost + " lost");
+    assertEquals(tasks, new HashSet<>(completed).size(), "every task completed");
   }
 
   /**
-   * The leader ends while machines with long tasks are not heard, or do not hear the next one's answer, for
-   * just under and just over a lease, and much longer; some are about to be taken away.
+   * The leader crashes while machines with long tasks hang, their reports are lost, or responses
+   * and commands don't reach them: for just under and just over a lease, and for much longer. One
+   * of these machines has a reclaim notice.
    */
   @ParameterizedTest
   @CsvSource({
     "unheard, 33", "unheard, 37", "unheard, 90", "unhearing, 33", "unhearing, 37", "unhearing, 90", "hung, 34",
     "hung, 38"
   })
-  void aLeaderEndsWhileMachinesAreOutOfReach(String how, int seconds) throws Exception {
+  void leaderCrashesWhileMachinesAreUnreachable(String how, int seconds) throws Exception {
     random = new Random(seconds);
     taskRunTime = Duration.ofSeconds(130);
     startWithJobs(3, 15, 18, 2);
--- a/src/test/java/io/tansystack/sim/FullRestartTest.java
+++ b/src/test/java/io/tansystack/sim/FullRestartTest.java
@@ -16,19 +16,20 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The start after all controllers went down: they come back one after the other, alone or crossed with
- * other failures. Besides the rules there must be no storm: no order that a reconciled fleet would not
- * need, no claim of a machine whose owner comes back in time, no rental and no return.
+ * Startup after all controllers were down: they come back one after the other, without or with
+ * other faults. Besides the general rules there must be no storm: no command that a reconciled
+ * fleet does not need, no claim of a machine whose owner comes back in time, no rental and no
+ * return of machines.
  */
 class FullRestartTest extends SimCluster {
   private int jobs;
   private int submitted;
 
-  /** The job that was cancelled; null for none. */
+  /** ID of the job that was cancelled; null for none. */
   private String cancelled;
 
-  /** What is written for machines that change hands: claims of one, of several, and heirs. */
-  private long handedOver() {
+  /** Writes that change owners of machines: individual claims, claim batches and failovers. */
+  private long ownershipWrites() {
     return store.writes("ts/machines/") + store.writes("ts/lots/") + store.writes("ts/heirs/");
   }
 
@@ -37,7 +38,7 @@
     submitted += tasks;
   }
 
-  private void running(int controllers, int machines) throws Exception {
+  private void startClusterWithWork(int controllers, int machines) throws Exception {
     settings = SettingsTest.VALID.replace("cpus_max = 40.0", "cpus_max = 0.0");
     controllerCount = controllers;
     maxMachines = machines;
@@ -45,58 +46,61 @@
       boot(i);
     }
     loop.runFor(Duration.ofSeconds(2));
-    for (int left = machines * 4; left > 0; left -= 100) {
-      work(Math.min(left, 100));
+    for (int remaining = machines * 4; remaining > 0; remaining -= 100) {
+      work(Math.min(remaining, 100));
     }
     loop.runFor(Duration.ofSeconds(14));
-    for (int left = machines * 4; left > 0; left -= 100) {
-      work(Math.min(left, 100)); // What waits at the end of all, and follows what ends meanwhile.
+    for (int remaining = machines * 4; remaining > 0; remaining -= 100) {
+      // Waits when the controllers stop; placed as earlier tasks complete.
+      work(Math.min(remaining, 100));
     }
     loop.runFor(Duration.ofSeconds(4));
   }
 
-  /** All end, and come back as told: milliseconds after the end, -1 for never. */
-  private void endOfAll(List<Integer> back) {
+  /** Stops all controllers; each restarts after its delay in milliseconds, -1 for never. */
+  private void stopAllControllers(List<Integer> restartDelaysMs) {
     for (int i = 0; i < controllerCount; i++) {
       if (controllers.containsKey(i)) {
         kill(i);
       }
-      if (back.get(i) >= 0) {
-        bootAfter(i, Duration.ofMillis(back.get(i)));
+      if (restartDelaysMs.get(i) >= 0) {
+        bootAfter(i, Duration.ofMillis(restartDelaysMs.get(i)));
       }
     }
   }
 
-  private List<Integer> spread(int from, int over, int never) {
-    List<Integer> back = new ArrayList<>();
+  /** Random delays in milliseconds within a range; -1 for the first {@code never} controllers. */
+  private List<Integer> restartDelays(int from, int over, int never) {
+    List<Integer> delaysMs = new ArrayList<>();
     for (int i = 0; i < controllerCount; i++) {
-      back.add(i < never ? -1 : from + (over == 0 ? 0 : random.nextInt(over)));
+      delaysMs.add(i < never ? -1 : from + (over == 0 ? 0 : random.nextInt(over)));
     }
-    return back;
+    return delaysMs;
   }
 
-  private int lost() {
+  private int lostTasks() {
     return workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum();
   }
 
-  private void noStorm() {
+  private void assertNoStorm() {
     check();
     assertEquals(Set.of(), violations);
     workers.values().forEach(worker -> assertEquals(List.of(), worker.redundantCommands(), worker.name()));
   }
 
-  private void allIsDoneInTheEnd(int lost) {
+  private void assertAllJobsDone(int lost) {
     loop.runFor(Duration.ofSeconds(150));
-    noStorm();
+    assertNoStorm();
     for (int j = 0; j < jobs; j++) {
       assertEquals("done", state(String.format("wk-%06d", j)), "job " + j);
     }
-    assertEquals(submitted + lost, startedTasks.size(), "each task was started once, and again if lost");
+    assertEquals(submitted + lost, startedTasks.size(), "each task was started once, and once more if lost");
   }
 
   @ParameterizedTest
   @CsvSource({
-    // controllers, machines, first back, over so long, never back, writes for machines, at most.
+    // Controllers, machines, ms until the first restart, ms over which restarts spread,
+    // controllers that never restart, most ownership writes.
     "3,  12,  3000,  0,     0, 0",
     "3,  12,  3000,  1500,  0, 0",
     "5,  40,  6000,  2000,  0, 0",
@@ -108,27 +112,27 @@
     "7,  60,  3000,  1500,  4, 4",
     "4,  20,  20000, 1500,  0, 0",
   })
-  void aStartCostsNoWorkAndNoStorm(
-      int controllers, int machines, int first, int over, int never, int most) throws Exception {
+  void fullRestartLosesNoWorkAndCausesNoStorm(
+      int controllers, int machines, int first, int over, int never, int maxOwnershipWrites) throws Exception {
     for (int seed = 1; seed <= (machines > 100 ? 1 : 3); seed++) {
-      anew(seed);
-      running(controllers, machines);
-      long before = handedOver();
+      resetCluster(seed);
+      startClusterWithWork(controllers, machines);
+      long before = ownershipWrites();
       int rentedBefore = cloud.rentals();
-      endOfAll(spread(first, over, never));
+      stopAllControllers(restartDelays(first, over, never));
       loop.runFor(Duration.ofMillis(first + over + 15_000));
-      noStorm();
-      assertEquals(0, lost(), "no lease ran out");
+      assertNoStorm();
+      assertEquals(0, lostTasks(), "no lease ran out");
       assertTrue(
-          handedOver() - before <= most,
-          "seed " + seed + ": " + (handedOver() - before) + " writes for machines");
-      assertEquals(rentedBefore, cloud.rentals(), "nothing was rented for what was not heard of yet");
-      allIsDoneInTheEnd(0);
+          ownershipWrites() - before <= maxOwnershipWrites,
+          "seed " + seed + ": " + (ownershipWrites() - before) + " ownership writes");
+      assertEquals(rentedBefore, cloud.rentals(), "nothing was rented for machines that have not reported yet");
+      assertAllJobsDone(0);
     }
   }
 
-  /** Ends all controllers, if there is one left; they come back some seconds later. */
-  private void again() {
+  /** Stops every running controller; each restarts after 3 to 4.5 s. */
+  private void restartAllControllers() {
     for (int i = 0; i < controllerCount; i++) {
       if (controllers.containsKey(i)) {
         kill(i);
@@ -137,13 +141,13 @@
     }
   }
 
-  /** What else may happen in such a night; whether work may be lost by it. */
-  private boolean strike(String trouble) throws Exception {
+  /** Injects another fault during the restart; returns whether the fault may lose work. */
+  private boolean injectFault(String fault) throws Exception {
     List<EmulatedWorker> all = List.copyOf(workers.values());
-    switch (trouble) {
+    switch (fault) {
       case "again" -> {
         loop.runFor(Duration.ofMillis(3000 + random.nextInt(4000)));
-        again();
+        restartAllControllers();
       }
       case "outage" -> {
         loop.runFor(Duration.ofMillis(1000 + random.nextInt(4000)));
@@ -185,7 +189,7 @@
       }
       default -> loop.runFor(Duration.ofSeconds(1));
     }
-    return trouble.equals("dying") || trouble.equals("hung") || trouble.equals("cancel");
+    return fault.equals("dying") || fault.equals("hung") || fault.equals("cancel");
   }
 
   private void cancel(String id) {
@@ -200,27 +204,30 @@
     cancelled = answer[0].get("Status").asText().equals("withdrawn") ? id : null;
   }
 
-  /** The end of a night: the rules, no storm, every answer, and each task started no more than needed. */
-  private void quietInTheEnd(String what, boolean mayLose) {
+  /**
+   * Checks that no rule is violated, that there was no storm, that every job has the right state,
+   * and that no task was started more often than needed.
+   */
+  private void assertRecovered(String context, boolean mayLose) {
     loop.runFor(Duration.ofSeconds(60));
     assertTrue(
         workers.values().stream()
             .flatMap(worker -> worker.liveTasks().stream())
             .noneMatch(task -> task.startsWith(cancelled + "/")),
-        what + ": what was cancelled during the start is gone");
+        context + ": work that was cancelled during startup is gone");
     loop.runFor(Duration.ofSeconds(240));
-    noStorm();
+    assertNoStorm();
     for (int j = 0; j < jobs; j++) {
       String id = String.format("wk-%06d", j);
-      assertEquals(id.equals(cancelled) ? "withdrawn" : "done", state(id), what + " job " + j);
+      assertEquals(id.equals(cancelled) ? "withdrawn" : "done", state(id), context + " job " + j);
     }
     if (!mayLose) {
-      assertEquals(0, lost(), what);
-      assertEquals(submitted, startedTasks.size(), what);
+      assertEquals(0, lostTasks(), context);
+      assertEquals(submitted, startedTasks.size(), context);
     }
   }
 
-  private void anew(long seed) {
+  private void resetCluster(long seed) {
     for (int i = 0; i < controllerCount; i++) {
       if (controllers.containsKey(i)) {
         kill(i);
@@ -239,42 +246,42 @@
 
   @ParameterizedTest
   @CsvSource({"again", "outage", "dying", "hung", "cut", "rolling", "cancel", "frozen", "pending"})
-  void aStartCrossedWithOtherTroublesBreaksNothing(String trouble) throws Exception {
+  void fullRestartWithAnotherFaultBreaksNoRule(String fault) throws Exception {
     for (int seed = 1; seed <= 2; seed++) {
-      anew(seed);
-      running(5, 40);
-      if (trouble.equals("pending")) {
-        maxMachines += 4; // A rental is under way at the end.
+      resetCluster(seed);
+      startClusterWithWork(5, 40);
+      if (fault.equals("pending")) {
+        maxMachines += 4; // A rental is in flight when the controllers stop.
         work(100);
         loop.runFor(Duration.ofMillis(120));
       }
-      endOfAll(spread(3000, 1500, 0));
-      boolean mayLose = strike(trouble);
-      quietInTheEnd(trouble + " seed " + seed, mayLose);
+      stopAllControllers(restartDelays(3000, 1500, 0));
+      boolean mayLose = injectFault(fault);
+      assertRecovered(fault + " seed " + seed, mayLose);
     }
   }
 
-  /** Starts of any size and spread, with up to three troubles that come as they like. */
+  /** Restarts of random size and spread, with up to three random faults at random times. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void aDrawnStartBreaksNothing(long seed) throws Exception {
-    anew(seed);
-    running(3 + random.nextInt(5), 12 + random.nextInt(30));
-    endOfAll(spread(random.nextInt(7000), 1 + random.nextInt(30_000), 0));
-    List<String> troubles =
+  void fullRestartWithRandomFaultsBreaksNoRule(long seed) throws Exception {
+    resetCluster(seed);
+    startClusterWithWork(3 + random.nextInt(5), 12 + random.nextInt(30));
+    stopAllControllers(restartDelays(random.nextInt(7000), 1 + random.nextInt(30_000), 0));
+    List<String> faults =
         List.of("again", "outage", "dying", "hung", "cut", "rolling", "cancel", "frozen", "none");
     boolean mayLose = false;
-    String what = "seed " + seed;
-    boolean cutOrOut = false;
+    String context = "seed " + seed;
+    boolean anyFault = false;
     for (int i = random.nextInt(4); i > 0; i--) {
       loop.runFor(Duration.ofMillis(random.nextInt(15_000)));
-      String trouble = troubles.get(random.nextInt(troubles.size()));
-      what += " " + trouble;
-      mayLose |= strike(trouble);
-      // Two of these after each other, on top of the end, may well outlast a lease.
-      mayLose |= cutOrOut;
-      cutOrOut = true;
+      String fault = faults.get(random.nextInt(faults.size()));
+      context += " " + fault;
+      mayLose |= injectFault(fault);
+      // Two faults in a row, on top of the full restart, may last longer than a lease.
+      mayLose |= anyFault;
+      anyFault = true;
     }
-    quietInTheEnd(what, mayLose || cutOrOut);
+    assertRecovered(context, mayLose || anyFault);
   }
 }
--- a/src/test/java/io/tansystack/sim/JobArchivalTest.java
+++ b/src/test/java/io/tansystack/sim/JobArchivalTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.tansystack.cluster.ClusterState;
 import io.tansystack.emulator.StoreLimits;
@@ -16,7 +15,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs that are over are put away, and known for ever; a start doesn't read them. */
+/**
+ * Finished jobs are archived and stay known permanently; a controller does not read them at
+ * startup.
+ */
 class JobArchivalTest extends SimCluster {
   private static String id(int i) {
     return String.format("wk-%06d", i);
@@ -34,16 +36,16 @@
     }
   }
 
-  private void known(int jobs, String cancelled) {
+  private void assertAllKnown(int jobs, String cancelled) {
     ObjectNode[] answer = new ObjectNode[1];
     for (int i = 0; i < jobs; i++) {
       String expected = id(i).equals(cancelled) ? "withdrawn" : "done";
       assertEquals(expected, state(id(i)));
       byte[] other = Cbor.encode(Cbor.map().put("Uid", id(i)).put("Wagons", "many"));
-      assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "whatever the body of a repetition");
+      assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "a repeated submission is accepted with any body");
       assertEquals(expected, answer[0].get("Status").asText());
       byte[] same = Cbor.encode(spec(id(i), 1).write());
-      assertEquals(200, callFirstAvailable("POST", "/v1/jobs", same, answer), "and whatever it asks for");
+      assertEquals(200, callFirstAvailable("POST", "/v1/jobs", same, answer), "and with any resource request");
       assertEquals(200, callFirstAvailable("POST", "/v1/jobs/" + id(i) + "/abort", new byte[0], answer));
       assertEquals(expected, answer[0].get("Status").asText());
     }
@@ -52,7 +54,7 @@
   }
 
   @Test
-  void whatWasPutAwayIsAnsweredForEverAndRunsNoMore() throws Exception {
+  void archivedJobsStayKnownAndNeverRunAgain() throws Exception {
     controllerCount = 2;
     bootAll();
     loop.runFor(Duration.ofSeconds(2));
@@ -62,23 +64,26 @@
     ObjectNode[] answer = new ObjectNode[1];
     assertEquals(200, callFirstAvailable("POST", "/v1/jobs/" + id(12) + "/abort", new byte[0], answer));
     loop.runFor(Duration.ofSeconds(120));
-    assertTrue(store.keyCount("ts-ended/") >= 12, store.keyCount("ts-ended/") + " put away");
-    assertTrue(store.keyCount("ts/jobs/") <= 1, store.keyCount("ts/jobs/") + " left");
+    assertTrue(store.keyCount("ts-ended/") >= 12, store.keyCount("ts-ended/") + " archived");
+    assertTrue(store.keyCount("ts/jobs/") <= 1, store.keyCount("ts/jobs/") + " not archived");
     int starts = startedTasks.size();
-    known(13, id(12));
+    assertAllKnown(13, id(12));
     killAll();
-    bootAll(); // These have never seen them.
+    bootAll(); // The new processes have no state of these jobs in memory.
     loop.runFor(Duration.ofSeconds(2));
-    known(13, id(12));
+    assertAllKnown(13, id(12));
     loop.runFor(Duration.ofSeconds(60));
-    assertEquals(starts, startedTasks.size(), "nothing of it runs again");
+    assertEquals(starts, startedTasks.size(), "no task runs again");
     assertEquals(0, store.keyCount("ts/intake/"));
   }
 
-  /** Asked all the time while jobs end and are put away, by controllers that come and go. */
+  /**
+   * Jobs are queried all the time while they finish and are archived, and while controllers
+   * restart.
+   */
   @ParameterizedTest
   @MethodSource("seeds")
-  void noAnswerGoesBackWhileAJobMoves(long seed) throws Exception {
+  void answersNeverRegressDuringArchival(long seed) throws Exception {
     random = new java.util.Random(seed);
     controllerCount = 2;
     bootAll();
@@ -86,14 +91,14 @@
     for (int i = 0; i < 9; i++) {
       submit(id(i), 1 + random.nextInt(3));
     }
-    boolean[] over = new boolean[9];
+    boolean[] seenDone = new boolean[9];
     exchangeFaultShare = 0.02;
     for (int round = 0; round < 60; round++) {
       int job = random.nextInt(9);
       String state = state(id(job));
-      assertTrue(!state.equals("404"), "seed " + seed + ": an accepted job is never denied");
-      assertTrue(!over[job] || state.equals("done") || state.equals("no answer"), "seed " + seed + ": " + state);
-      over[job] |= state.equals("done");
+      assertTrue(!state.equals("404"), "seed " + seed + ": an accepted job is never reported as unknown");
+      assertTrue(!seenDone[job] || state.equals("done") || state.equals("no answer"), "seed " + seed + ": " + state);
+      seenDone[job] |= state.equals("done");
       if (random.nextInt(6) == 0) {
         int victim = random.nextInt(2);
         if (controllers.containsKey(victim)) {
@@ -101,7 +106,7 @@
         }
         boot(victim);
       }
-      assertEquals("404", state(id(500)), "nor is one invented");
+      assertEquals("404", state(id(500)), "an unknown job is never reported as known");
     }
     exchangeFaultShare = 0;
     loop.runFor(Duration.ofSeconds(60));
@@ -112,10 +117,13 @@
     }
   }
 
-  /** What a start of three controllers costs: requests, and the time until the last of them is ready. */
-  private record Start(int requests, int refused, Duration took) {}
+  /**
+   * Cost of starting three controllers: requests to the state service, how many of them it refused,
+   * and the time until the last controller is ready.
+   */
+  private record StartupCost(int requests, int refused, Duration took) {}
 
-  private Start start(int ended, Function<String, String> key) throws Exception {
+  private StartupCost measureStartup(int ended, Function<String, String> key) throws Exception {
     store.clear();
     store.limits(store.limits().withPageSize(StoreLimits.MAX_PAGE_SIZE));
     ObjectNode outcome = JobRecord.outcome(JobRecord.Phase.DONE).write();
@@ -137,20 +145,20 @@
             .handleFront("GET", "/up", new byte[0], (status, body, r) -> ready[0] += status == 200 ? 1 : 0);
       }
     }
-    Start start = new Start((int) store.requests(), (int) store.rejected(), loop.now().minus(from));
+    StartupCost start = new StartupCost((int) store.requests(), (int) store.rejected(), loop.now().minus(from));
     killAll();
     return start;
   }
 
   @ParameterizedTest
   @ValueSource(ints = {10_000, 50_000})
-  void aStartDoesNotGrowWithWhatHasEnded(int ended) throws Exception {
-    Start none = start(0, ClusterState::archiveKey);
-    Start many = start(ended, ClusterState::archiveKey);
+  void startupCostDoesNotGrowWithArchivedJobs(int ended) throws Exception {
+    StartupCost none = measureStartup(0, ClusterState::archiveKey);
+    StartupCost many = measureStartup(ended, ClusterState::archiveKey);
     assertTrue(many.requests <= none.requests * 1.1, none + " and " + many);
     assertTrue(many.took.toMillis() <= none.took.toMillis() * 1.1, none + " and " + many);
-    // As it was, and as what is not put away yet.
-    Start inTheCopy = start(ended, ClusterState::jobKey);
-    assertTrue(inTheCopy.requests >= none.requests + 3 * ended / 1000, "" + inTheCopy);
+    // Without archival each start reads every outcome, as it does for those not archived yet.
+    StartupCost unarchived = measureStartup(ended, ClusterState::jobKey);
+    assertTrue(unarchived.requests >= none.requests + 3 * ended / 1000, "" + unarchived);
   }
 }
--- a/src/test/java/io/tansystack/sim/LossDelayCrashTest.java
+++ b/src/test/java/io/tansystack/sim/LossDelayCrashTest.java
@@ -11,12 +11,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Losses, delays and crashes for minutes on end. */
+/** Lost responses, delayed requests and crashes, for several minutes of simulated time. */
 class LossDelayCrashTest extends SimCluster {
   /**
-   * Answers lost, requests carried out up to 43 s late; controllers killed, standing still, silent or
-   * refused by the state service, at any step and for shorter and longer than any lease. What is late
-   * includes launches, forgets and transactions, so this crosses every step of a launch.
+   * Responses are lost, and requests are executed up to 43 s late. Controllers are killed, paused,
+   * unresponsive, cut off from workers or refused by the state service, at any step and for less
+   * and more than any lease. Delayed requests include launches, forgets and transactions, so that
+   * faults hit every step of a launch.
    */
   @ParameterizedTest
   @MethodSource("seeds")
@@ -34,7 +35,8 @@
     List<JobSpec> bursts = new ArrayList<>();
     for (int round = 0; round < 40; round++) {
       if (round % 10 == 4) {
-        // Together with a repetition elsewhere, in other order and with other descriptions.
+        // The same IDs also go to a random controller at the same time, in reverse order and
+        // with other descriptions.
         List<JobSpec> burst = new ArrayList<>();
         List<JobSpec> repeated = new ArrayList<>();
         for (int j = 0; j < 7; j++) {
@@ -77,7 +79,7 @@
     for (JobSpec spec : bursts) {
       assertEquals("done", state(spec.id()), "seed " + seed + " job " + spec.id());
     }
-    assertEquals(0, store.keyCount("ts/intake/"), "what accepted several jobs is removed in the end");
+    assertEquals(0, store.keyCount("ts/intake/"), "all submission batches are removed in the end");
     for (int j = 0; j < 6; j++) {
       assertEquals("done", state("wk-00000" + j), "seed " + seed + " job " + j);
     }
--- a/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
+++ b/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
@@ -20,14 +20,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Who is heard but doesn't hear, messages that come once more, controllers that keep their workers and
- * nothing else, and processes that are back before anybody noticed. Nothing accepted is forgotten.
+ * Guards against lost jobs when connectivity is partial: workers whose reports arrive but which
+ * receive no responses, duplicated messages, controllers that can reach only their workers and
+ * users, and processes that restart before their crash is detected. No accepted job is forgotten.
  */
 class PartialConnectivityTest extends SimCluster {
   private final SimUsers users = new SimUsers(this);
   private int jobs;
 
-  private void running(int controllers, int machines, int tasks) throws Exception {
+  private void startClusterWithWork(int controllers, int machines, int tasks) throws Exception {
     controllerCount = controllers;
     maxMachines = machines;
     for (int i = 0; i < controllers; i++) {
@@ -44,44 +45,48 @@
     loop.runFor(Duration.ofSeconds(1));
   }
 
-  private void allIsWell(String what) {
+  private void assertRecovered(String context) {
     users.faultsOver();
     loop.runFor(Duration.ofSeconds(300));
     check();
-    assertEquals(Set.of(), violations, what);
-    assertEquals(Set.of(), users.checker().finalViolations(), what);
+    assertEquals(Set.of(), violations, context);
+    assertEquals(Set.of(), users.checker().finalViolations(), context);
     for (int j = 0; j < jobs; j++) {
-      assertEquals("done", state(String.format("wk-%06d", j)), what + " job " + j);
+      assertEquals("done", state(String.format("wk-%06d", j)), context + " job " + j);
     }
   }
 
   /**
-   * Its reports arrive, nothing reaches it, for less than a lease, about a lease, and far longer. What ran
-   * there runs elsewhere once the worker's next session proves it over, nothing more is sent there, and
-   * neither the owner nor the others write for each report.
+   * Reports of machines arrive but nothing reaches the machines, for less than a lease, about a
+   * lease, and far longer. Their tasks run elsewhere once the worker's next session proves that
+   * they have ended, no more tasks are sent to them, and neither the owner nor other controllers
+   * write a record for each report.
    */
   @ParameterizedTest
   @CsvSource({"5, 3", "34, 3", "38, 3", "150, 3", "150, 8"})
-  void machinesThatDoNotHearAreLeftAlone(int seconds, int count) throws Exception {
-    running(3, 20, 80);
-    List<EmulatedWorker> deaf = List.copyOf(workers.values()).subList(0, count);
-    deaf.forEach(worker -> inboundBlocked.add(worker.name()));
+  void machinesNotReceivingResponsesAreLeftAlone(int seconds, int count) throws Exception {
+    startClusterWithWork(3, 20, 80);
+    List<EmulatedWorker> unreachable = List.copyOf(workers.values()).subList(0, count);
+    unreachable.forEach(worker -> inboundBlocked.add(worker.name()));
     Map<String, Long> before = new HashMap<>();
-    deaf.forEach(worker -> before.put(worker.name(), store.writes("ts/machines/" + worker.name())));
+    unreachable.forEach(worker -> before.put(worker.name(), store.writes("ts/machines/" + worker.name())));
     loop.runFor(Duration.ofSeconds(seconds));
-    for (EmulatedWorker worker : deaf) {
+    for (EmulatedWorker worker : unreachable) {
       long writes = store.writes("ts/machines/" + worker.name()) - before.get(worker.name());
       assertTrue(writes <= 5, writes + " writes for " + worker.name());
     }
     inboundBlocked.clear();
     work(40);
-    allIsWell(count + " for " + seconds + " s");
+    assertRecovered(count + " for " + seconds + " s");
   }
 
-  /** Cancelled work on a machine that hears nothing ends with its lease, which nobody renews. */
+  /**
+   * Cancelled work on a machine that receives no responses ends with its lease, which is not
+   * renewed.
+   */
   @Test
-  void cancelledWorkOnAMachineThatDoesNotHearIsGoneInTime() throws Exception {
-    running(3, 12, 40);
+  void cancelledWorkOnMachineNotReceivingResponsesIsGoneInTime() throws Exception {
+    startClusterWithWork(3, 12, 40);
     workers.keySet().stream().limit(4).forEach(inboundBlocked::add);
     loop.runFor(Duration.ofSeconds(2));
     users.cancel("wk-000000", SimUsers.ANY);
@@ -92,13 +97,14 @@
   }
 
   /**
-   * A controller has only its users and workers left. They are told so at once, its workers go while
-   * their leases have time, and nothing that ran is lost, whether it is away for a moment or for good.
+   * A controller reaches only its users and workers. It tells both at once, its workers move to
+   * other controllers before their leases end, and no running task is lost, whether the isolation
+   * is short or long.
    */
   @ParameterizedTest
   @ValueSource(ints = {3, 8, 12, 18, 25, 40, 90})
-  void aControllerWithNothingButItsWorkersLosesNone(int seconds) throws Exception {
-    running(3, 18, 72);
+  void controllerIsolatedFromPeersAndStateServiceLosesNoWork(int seconds) throws Exception {
+    startClusterWithWork(3, 18, 72);
     int victim = holder("ts/fleet");
     int before = startedTasks.size();
     cutOffFromStoreAndPeers.add(victim);
@@ -106,22 +112,28 @@
     if (seconds > 5 && seconds < 90) {
       int[] status = new int[1];
       controllers.get(victim).handleFront("GET", "/up", new byte[0], (s, b, r) -> status[0] = s);
-      assertEquals(503, status[0], "users had better go to another");
+      assertEquals(503, status[0], "users are sent to another controller");
     }
     cutOffFromStoreAndPeers.clear();
     loop.runFor(Duration.ofSeconds(60));
-    assertEquals(0, workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(), "leases that ran out");
+    assertEquals(
+        0,
+        workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum(),
+        "tasks lost to expired leases");
     assertTrue(startedTasks.size() >= before);
-    allIsWell("apart for " + seconds + " s");
+    assertRecovered("isolated for " + seconds + " s");
   }
 
-  /** Copies of reports, from seconds to well over a lease late, at any controller, through ends of all. */
+  /**
+   * Copies of reports arrive at any controller, from seconds to well over a lease late, while each
+   * controller crashes and restarts in turn.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void copiesOfReportsProveNothing(long seed) throws Exception {
+  void duplicatedReportsProveNothing(long seed) throws Exception {
     random = new Random(seed);
     duplicateReportShare = 0.5;
-    running(3, 12, 100);
+    startClusterWithWork(3, 12, 100);
     for (int i = 0; i < 3; i++) {
       List<EmulatedWorker> all = List.copyOf(workers.values());
       all.get(random.nextInt(all.size())).markDead();
@@ -132,17 +144,20 @@
       work(30);
     }
     duplicateReportShare = 0;
-    allIsWell("seed " + seed);
+    assertRecovered("seed " + seed);
   }
 
-  /** A machine that was given back is not claimed anew for what it said when it was there. */
+  /**
+   * A late copy of a report must not make a controller claim a machine that was returned to the
+   * cloud.
+   */
   @Test
-  void aCopyFromAMachineThatIsGoneStartsNothing() throws Exception {
-    running(3, 12, 20);
+  void duplicatedReportOfDeletedMachineIsNotClaimed() throws Exception {
+    startClusterWithWork(3, 12, 20);
     EmulatedWorker gone = workers.values().iterator().next();
     byte[] body = Cbor.encode(gone.report().write());
     loop.runFor(Duration.ofSeconds(200));
-    assertTrue(!workers.containsKey(gone.name()), "idle, and given back");
+    assertTrue(!workers.containsKey(gone.name()), "the idle machine was returned");
     long before = store.writes("ts/lots/") + store.writes("ts/machines/");
     int[] status = new int[controllerCount];
     for (int i = 0; i < controllerCount; i++) {
@@ -155,27 +170,27 @@
     assertEquals(List.of(503, 503, 503), IntStream.of(status).boxed().toList());
   }
 
-  /** What is drawn: each lasts for a while of its own, and the next may come before it is over. */
-  private void strike() {
+  /** Injects a random fault of random duration; the next one may begin before it ends. */
+  private void injectRandomFault() {
     List<EmulatedWorker> all = List.copyOf(workers.values());
     int victim = random.nextInt(controllerCount);
     Duration lasts = Duration.ofMillis(300 + random.nextInt(50_000));
     switch (random.nextInt(9)) {
       case 0 -> {
-        List<String> deaf = new ArrayList<>();
-        all.subList(0, all.size() * 2 / 5).forEach(worker -> deaf.add(worker.name()));
-        inboundBlocked.addAll(deaf);
-        loop.after(lasts, () -> inboundBlocked.removeAll(deaf));
+        List<String> names = new ArrayList<>();
+        all.subList(0, all.size() * 2 / 5).forEach(worker -> names.add(worker.name()));
+        inboundBlocked.addAll(names);
+        loop.after(lasts, () -> inboundBlocked.removeAll(names));
       }
       case 1 -> duplicateReportShare = random.nextDouble();
       case 2, 3 -> {
         cutOffFromStoreAndPeers.add(victim);
         loop.after(lasts, () -> cutOffFromStoreAndPeers.remove(victim));
       }
-      case 4, 5 -> blink(victim, 1 + random.nextInt(2));
+      case 4, 5 -> restartQuickly(victim, 1 + random.nextInt(2));
       case 6 -> {
         for (int i = 0; i < controllerCount; i++) {
-          blink(i, 1);
+          restartQuickly(i, 1);
         }
       }
       case 7 -> processes.get(victim).freeze(lasts);
@@ -186,8 +201,8 @@
     }
   }
 
-  /** It ends and is back within a fraction of a second, so many times in a row. */
-  private void blink(int index, int times) {
+  /** Crashes a controller and restarts it within a second, the given number of times in a row. */
+  private void restartQuickly(int index, int times) {
     if (!controllers.containsKey(index)) {
       return;
     }
@@ -201,24 +216,24 @@
             throw new IllegalStateException(e);
           }
           if (times > 1) {
-            loop.after(Duration.ofMillis(random.nextInt(1500)), () -> blink(index, times - 1));
+            loop.after(Duration.ofMillis(random.nextInt(1500)), () -> restartQuickly(index, times - 1));
           }
         });
   }
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void drawnTroublesForgetNothing(long seed) throws Exception {
+  void randomFaultsForgetNoJob(long seed) throws Exception {
     random = new Random(seed);
-    running(3 + random.nextInt(4), 10 + random.nextInt(20), 60);
-    for (int left = 3 + random.nextInt(4); left > 0; left--) {
-      strike();
+    startClusterWithWork(3 + random.nextInt(4), 10 + random.nextInt(20), 60);
+    for (int remaining = 3 + random.nextInt(4); remaining > 0; remaining--) {
+      injectRandomFault();
       loop.runFor(Duration.ofMillis(random.nextInt(15_000)));
       check();
       work(20);
     }
-    loop.runFor(Duration.ofSeconds(51)); // The longest of them is over by then.
+    loop.runFor(Duration.ofSeconds(51)); // Longer than the longest fault.
     clearFaults();
-    allIsWell("seed " + seed);
+    assertRecovered("seed " + seed);
   }
 }
--- a/src/test/java/io/tansystack/sim/RandomFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/RandomFaultsTest.java
@@ -11,44 +11,51 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Two to four troubles out of all pages that meet, drawn; every rule is judged, {@code forgotten} by job. */
+/**
+ * Combines two to four random faults out of all that the operators have listed, and checks every
+ * rule, {@code forgotten} for each job.
+ */
 class RandomFaultsTest {
   /**
-   * Those that have found something once: 721 and 1074 reads that were older than what the copy showed, the
-   * others gangs that waited for ever, since machines were rented in a zone where they have no use for them.
+   * Seeds that found faults: 721 and 1074 found reads that were older than the controller's cache,
+   * the others found gangs that waited permanently, since machines were rented in a zone where the
+   * gang can't use them.
    */
-  private static final long[] FOUND =
+  private static final long[] REGRESSION_SEEDS =
       {721, 1074, RandomFaultRun.LAST_NARROW_SEED + 10, RandomFaultRun.LAST_NARROW_SEED + 55};
 
-  /** Some dozens, or those that {@code tansystack.pairs} names as {@code FROM-TO}. */
+  /** 84 seeds, or those that the property {@code tansystack.pairs} gives as {@code FROM-TO}. */
   static LongStream seeds() {
-    String named = System.getProperty("tansystack.pairs", "");
-    if (named.isEmpty()) {
+    String requested = System.getProperty("tansystack.pairs", "");
+    if (requested.isEmpty()) {
       LongStream wide = LongStream.rangeClosed(RandomFaultRun.LAST_NARROW_SEED + 11, RandomFaultRun.LAST_NARROW_SEED + 50);
       return LongStream.concat(
-          LongStream.concat(LongStream.rangeClosed(1, 40), LongStream.of(FOUND)), wide);
+          LongStream.concat(LongStream.rangeClosed(1, 40), LongStream.of(REGRESSION_SEEDS)), wide);
     }
-    String[] range = named.split("-");
+    String[] range = requested.split("-");
     return LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]));
   }
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void noRuleBreaks(long seed) throws Exception {
-    List<Fault> troubles = RandomFaultRun.drawFaults(seed);
-    Set<String> broken = RandomFaultRun.simulate(seed, troubles);
-    if (!broken.isEmpty()) {
-      List<Fault> shortest = RandomFaultRun.minimize(seed, troubles);
-      assertEquals(Set.of(), broken, "seed " + seed + " with " + troubles + ", shortest found: " + shortest);
+  void noRuleIsViolated(long seed) throws Exception {
+    List<Fault> faults = RandomFaultRun.drawFaults(seed);
+    Set<String> violations = RandomFaultRun.simulate(seed, faults);
+    if (!violations.isEmpty()) {
+      List<Fault> shortest = RandomFaultRun.minimize(seed, faults);
+      assertEquals(Set.of(), violations, "seed " + seed + " with " + faults + ", shortest found: " + shortest);
     }
   }
 
-  /** A day repeats itself, or its failure could not be looked into; troubles left out don't move the others. */
+  /**
+   * A run must be reproducible from its seed, so that a failure can be analysed. Leaving out a
+   * fault must not change the others.
+   */
   @Test
-  void aSeedsDayIsTheSameEveryTime() throws Exception {
-    List<Fault> troubles = RandomFaultRun.drawFaults(5);
-    assertEquals(troubles, RandomFaultRun.drawFaults(5));
+  void sameSeedGivesTheSameRun() throws Exception {
+    List<Fault> faults = RandomFaultRun.drawFaults(5);
+    assertEquals(faults, RandomFaultRun.drawFaults(5));
     assertEquals(
-        RandomFaultRun.simulate(5, troubles), RandomFaultRun.simulate(5, new ArrayList<>(troubles)));
+        RandomFaultRun.simulate(5, faults), RandomFaultRun.simulate(5, new ArrayList<>(faults)));
   }
 }
--- a/src/test/java/io/tansystack/sim/ReadConsistencyTest.java
+++ b/src/test/java/io/tansystack/sim/ReadConsistencyTest.java
@@ -9,24 +9,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Users ask at all nodes within milliseconds after a job was accepted, has ended or was cancelled, repeat the
- * submission and the cancellation there, and hear nothing older than what any node has told.
+ * Guards against stale reads: users query all nodes within milliseconds after a job was accepted,
+ * finished or cancelled, and repeat the submission and the cancellation there. No response may be
+ * older than what any node has already answered.
  */
 class ReadConsistencyTest extends FaultScenario {
-  /** In the middle of which trouble users look closely; some jobs come alone, others many at once. */
+  /**
+   * Users query all nodes at short intervals during the given fault. Some jobs are submitted alone,
+   * others in bursts.
+   */
   @ParameterizedTest
   @CsvSource({
     "nothing", "slow reads", "slow store", "answers lost", "one refused", "one just started", "all just started",
     "late writes", "outcomes not remembered", "frozen"
   })
-  void noNodeTellsLessThanAnotherHasTold(String meanwhile) throws Exception {
-    random = new Random(meanwhile.hashCode());
+  void noNodeAnswersWithOlderStateThanAnother(String fault) throws Exception {
+    random = new Random(fault.hashCode());
     taskRunTime = Duration.ofSeconds(4);
     start(4, 14);
     submitJobs(3, 1);
     loop.runFor(Duration.ofSeconds(12));
     users().queryAllOnChange = true;
-    switch (meanwhile) {
+    switch (fault) {
       case "slow reads" -> readDelay = Duration.ofMillis(900);
       case "slow store" -> maxStoreDelay = Duration.ofMillis(300);
       case "answers lost" -> lostResponseShare = 0.4;
@@ -37,7 +41,7 @@
       int at = round % 4;
       int from = jobCount;
       submitJobs(1 + round % 3 * 3, 1 + round % 2);
-      switch (meanwhile) {
+      switch (fault) {
         case "one refused" -> refusedByStore = at;
         case "one just started" -> restart(at, 40);
         case "all just started" -> {
@@ -47,7 +51,9 @@
         }
         case "outcomes not remembered" -> {
           if (round == 5) {
-            submitJobs(4, 1); // Enough for what has ended to be put away, and then one that has never seen it.
+            // Enough jobs for finished ones to be archived; then a controller restarts, which has
+            // not seen them.
+            submitJobs(4, 1);
             loop.runFor(Duration.ofSeconds(30));
             restart(at, 100);
           }
@@ -63,21 +69,22 @@
       refusedByStore = -1;
       loop.runFor(Duration.ofSeconds(4));
       if (round > 1) {
-        users().queryAllControllers(users().jobs.get(id(random.nextInt(from)))); // At what has ended long ago, too.
+        // Also queries jobs that finished long ago.
+        users().queryAllControllers(users().jobs.get(id(random.nextInt(from))));
       }
     }
-    assertRecovered(meanwhile);
+    assertRecovered(fault);
     assertTrue(users().answerCount > 2000, users().answerCount + " answers");
   }
 
   /**
-   * A job is called off so many milliseconds after its last task has ended on its machine, while the outcome is
-   * on its way to the record, in it, and put away; with no other trouble. It is done or cancelled, one of them,
-   * at all nodes and for ever.
+   * A job is cancelled the given number of milliseconds after its last task has completed on its
+   * machine, while the outcome is being written, is recorded, and is archived, with no other fault.
+   * The job must be either done or cancelled, the same at all nodes and permanently.
    */
   @ParameterizedTest
   @CsvSource({"0, 1", "2, 1", "4, 2", "6, 1", "8, 2", "12, 1", "20, 3", "40, 1", "500, 1", "1500, 2", "2600, 1"})
-  void aCancellationMeetsTheLastTasksEnd(int ms, int tasks) throws Exception {
+  void cancellationRacesWithLastTaskCompletion(int ms, int tasks) throws Exception {
     random = new Random(ms);
     taskRunTime = Duration.ofSeconds(3);
     startWithJobs(3, 10, 0, 0);
--- a/src/test/java/io/tansystack/sim/SmallJobStreamTest.java
+++ b/src/test/java/io/tansystack/sim/SmallJobStreamTest.java
@@ -9,17 +9,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** One-task jobs, four a second for minutes, a quarter cancelled, at the smallest limits that are used. */
+/**
+ * One-task jobs, four per second for minutes, a quarter of them cancelled, with the lowest write
+ * limits of the state service that are in use.
+ */
 class SmallJobStreamTest extends FaultScenario {
   private static final int PER_SECOND = 4;
 
   /**
-   * Writes for a job's life have a bound, submissions and cancellations are answered soon, no lease of a
-   * controller ends, and afterwards everything is back to what it was.
+   * The number of writes per job is bounded, submissions and cancellations are answered soon, no
+   * controller loses its lease, and afterwards about as many keys are stored as before.
    */
   @ParameterizedTest
   @CsvSource({"180, 20, false", "60, 20, true", "120, 80, true"})
-  void oneTaskJobs(int seconds, int writesPerSecond, boolean leaderEnds) throws Exception {
+  void streamOfOneTaskJobs(int seconds, int writesPerSecond, boolean leaderEnds) throws Exception {
     random = new Random(seconds);
     settings =
         settings
@@ -31,10 +34,10 @@
     submitJobs(2, 4);
     loop.runFor(Duration.ofSeconds(14));
     long before = store.writes("");
-    int kept = keptKeys();
+    int storedBefore = storedKeys();
     for (int i = 0; i < seconds * PER_SECOND; i++) {
       String id = id(jobCount++);
-      Duration asked = loop.now();
+      Duration submittedAt = loop.now();
       users().submit(spec(id, 1), SimUsers.ANY);
       if (i % 4 == 0) {
         loop.after(
@@ -45,28 +48,31 @@
       }
       loop.runFor(Duration.ofMillis(1000 / PER_SECOND));
       assertTrue(
-          leaderEnds || users().jobs.get(id).accepted != null || loop.now().minus(asked).toSeconds() < 1, id);
+          leaderEnds || users().jobs.get(id).accepted != null || loop.now().minus(submittedAt).toSeconds() < 1, id);
     }
     long writes = store.writes("") - before;
     int streamed = seconds * PER_SECOND;
-    // Accepted, placed, over; an outcome that is put away, when nothing else is written, takes two writes more.
-    long putAway = 2 * store.writes("ts-ended/");
-    assertTrue(writes - putAway <= 3.5 * streamed, writes + " writes for " + streamed + " jobs, " + putAway + " put away");
+    // Three writes per job: accepted, placed, finished. Archiving an outcome takes two more when
+    // nothing else is written.
+    long archivalWrites = 2 * store.writes("ts-ended/");
+    assertTrue(
+        writes - archivalWrites <= 3.5 * streamed,
+        writes + " writes for " + streamed + " jobs, " + archivalWrites + " to archive");
     assertTrue(store.rejected() <= 10, store.rejected() + " writes over the limit");
     List<Long> waits =
         users().jobs.values().stream()
-            .filter(told -> told.accepted != null)
-            .map(told -> told.accepted.minus(told.submitted).toMillis())
+            .filter(job -> job.accepted != null)
+            .map(job -> job.accepted.minus(job.submitted).toMillis())
             .sorted()
             .toList();
-    assertTrue(waits.get(waits.size() * 95 / 100) <= (leaderEnds ? 5000 : 500), "accepted within ms: " + waits);
+    assertTrue(waits.get(waits.size() * 95 / 100) <= (leaderEnds ? 5000 : 500), "ms until accepted: " + waits);
     assertRecovered(streamed + " jobs");
-    assertTrue(keptKeys() <= kept + 8, keptKeys() + " keys are left, " + kept + " before");
+    assertTrue(storedKeys() <= storedBefore + 8, storedKeys() + " keys stored, " + storedBefore + " before");
     assertEquals(0, users().checker().lateStarts.stream().filter(s -> s.after().toMillis() > 500).count());
   }
 
-  /** What every start has to read. */
-  private int keptKeys() {
+  /** Number of keys that each controller reads at startup. */
+  private int storedKeys() {
     return (int) store.keyCount("ts/");
   }
 }
--- a/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
@@ -16,7 +16,10 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Many jobs submitted at once: few writes, and each is a job like any other from that moment on. */
+/**
+ * Many jobs submitted at once are accepted with few writes, and from then on each behaves like a
+ * job that was submitted alone.
+ */
 class SubmissionBurstTest extends SimCluster {
   private static final int JOBS = 40;
 
@@ -29,7 +32,7 @@
   }
 
   @Test
-  void aBurstTakesFewWritesAndEveryControllerKnowsItsJobs() throws Exception {
+  void burstTakesFewWritesAndIsKnownToEveryController() throws Exception {
     controllerCount = 2;
     boot(0);
     boot(1);
@@ -39,21 +42,21 @@
     loop.runFor(Duration.ofSeconds(1));
     assertEquals(Set.of(201), new TreeSet<>(answers.values()));
     assertTrue(store.writes("ts/intake/") <= 4, store.writes("ts/intake/") + " writes");
-    assertTrue(store.writes("ts/jobs/") <= 2, store.writes("ts/jobs/") + " records of their own");
+    assertTrue(store.writes("ts/jobs/") <= 2, store.writes("ts/jobs/") + " individual records");
 
-    kill(0); // The one that accepted them; what it knew is in the records.
+    kill(0); // The controller that accepted the jobs; the records must hold all that it knew.
     ObjectNode[] answer = new ObjectNode[1];
     assertEquals("pending", state("wk-000007"));
     assertEquals("404", state("wk-000099"));
     assertEquals(404, callFirstAvailable("POST", "/v1/jobs/wk-000099/abort", new byte[0], answer));
     byte[] other = Cbor.encode(Cbor.map().put("Uid", "wk-000008").put("Wagons", "many"));
-    assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "whatever the body of a repetition");
+    assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "a repeated submission is accepted with any body");
     assertEquals(200, callFirstAvailable("POST", "/v1/jobs/wk-000009/abort", new byte[0], answer));
     assertEquals("withdrawn", state("wk-000009"));
 
     boot(0);
     loop.runFor(Duration.ofSeconds(2));
-    kill(1); // The one that is left has read all of it anew.
+    kill(1); // The remaining controller has read all records after its start.
     assertEquals("pending", state("wk-000007"));
     assertEquals("withdrawn", state("wk-000009"));
     boot(1);
@@ -63,28 +66,28 @@
       assertEquals(
           spec.id().equals("wk-000009") ? "withdrawn" : "done", state(spec.id()), spec.id());
     }
-    assertEquals(JOBS - 1, startedTasks.size(), "each was started once, and none that was cancelled");
-    assertEquals(0, store.keyCount("ts/intake/"), "nothing needs them any more");
+    assertEquals(JOBS - 1, startedTasks.size(), "each was started once, except the cancelled one");
+    assertEquals(0, store.keyCount("ts/intake/"), "obsolete submission batches are removed");
   }
 
   @Test
-  void whatIsUnknownIsDeniedAtOnceWhileNothingChanges() throws Exception {
+  void unknownJobIsDeniedAtOnceOnIdleCluster() throws Exception {
     boot(0);
     loop.runFor(Duration.ofSeconds(10));
-    Map<String, Duration> told = new TreeMap<>();
+    Map<String, Duration> answers = new TreeMap<>();
     byte[] bad = Cbor.encode(Cbor.map().put("Uid", "wk-000099").put("Wagons", "many"));
     Duration asked = loop.now();
     processes.get(0).run(() -> controllers.get(0).handleFront("POST", "/v1/jobs", bad,
-        (status, bytes, r) -> told.put("bad " + status, loop.now().minus(asked))));
+        (status, bytes, r) -> answers.put("bad " + status, loop.now().minus(asked))));
     processes.get(0).run(() -> controllers.get(0).handleFront("POST", "/v1/jobs/wk-000098/abort", new byte[0],
-        (status, bytes, r) -> told.put("abort " + status, loop.now().minus(asked))));
+        (status, bytes, r) -> answers.put("abort " + status, loop.now().minus(asked))));
     loop.runFor(Duration.ofSeconds(3));
-    assertEquals(Set.of("bad 400", "abort 404"), told.keySet());
-    told.forEach((what, after) -> assertTrue(after.toMillis() <= 50, what + " after " + after));
+    assertEquals(Set.of("bad 400", "abort 404"), answers.keySet());
+    answers.forEach((what, after) -> assertTrue(after.toMillis() <= 50, what + " after " + after));
   }
 
   @Test
-  void ofTwoThatAcceptOneIdTheFirstCounts() throws Exception {
+  void firstAcceptanceOfAnIdWins() throws Exception {
     controllerCount = 2;
     boot(0);
     boot(1);
@@ -94,7 +97,7 @@
     Collections.reverse(later);
     submitTogether(0, jobs(1));
     loop.runFor(Duration.ofMillis(100));
-    // Too soon for the other's copy to show some of them.
+    // Too early for the second controller's cache to show all of the first controller's jobs.
     Map<String, Integer> answers = submitTogether(1, later);
     loop.runFor(Duration.ofSeconds(2));
     assertTrue(Set.of(200, 201).containsAll(answers.values()), answers.toString());
@@ -105,6 +108,6 @@
     loop.runFor(Duration.ofSeconds(240));
     assertEquals("done", state("wk-000000"));
     assertEquals("done", state("wk-000039"));
-    assertEquals(JOBS, startedTasks.size(), "by the description that was accepted first");
+    assertEquals(JOBS, startedTasks.size(), "the description that was accepted first counts");
   }
 }
--- a/src/test/java/io/tansystack/sim/ZoneFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/ZoneFaultsTest.java
@@ -12,18 +12,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Zones that are cut off or lose machines, machines that reach nobody, and more work than room. */
+/**
+ * Zones that are cut off or lose machines, machines whose reports are lost, and more work than
+ * capacity.
+ */
 class ZoneFaultsTest extends FaultScenario {
   /**
-   * A zone with workers and controllers is cut off for less and for longer than a lease, the leader on either
-   * side. Inside work ends, and some of it was cancelled outside; outside jobs are accepted and cancelled.
+   * A zone with workers and controllers is cut off for less and for longer than a lease, with the
+   * leader on either side. Inside, tasks complete, also of jobs that were cancelled outside.
+   * Outside, jobs are accepted and cancelled.
    */
   @ParameterizedTest
   @CsvSource({
     "b, 8, false", "b, 34, false", "b, 38, true", "b, 70, false", "a, 20, false", "a, 38, true", "a, 70, false",
     "a, 17, true"
   })
-  void aZoneIsCutOff(String zone, int seconds, boolean leaderEnds) throws Exception {
+  void zoneIsPartitioned(String zone, int seconds, boolean leaderEnds) throws Exception {
     random = new Random(seconds);
     zones = List.of("a", "b");
     controllersInAllZones = true;
@@ -53,12 +57,13 @@
   }
 
   /**
-   * Machines whose reports reach no controller, while commands do: for a moment, for just under and over a
-   * lease, and for good; jobs of theirs are cancelled, and nothing but proof starts a task again.
+   * Reports of machines reach no controller while commands reach the machines: for seconds, for
+   * just under and just over a lease, and far longer. Jobs on them are cancelled, and a task is
+   * restarted only once it is proven that the earlier attempt has ended.
    */
   @ParameterizedTest
   @CsvSource({"6, 4", "33, 4", "35, 8", "37, 4", "45, 100", "100, 5"})
-  void machinesThatReachNobodyButTakeCommands(int seconds, int count) throws Exception {
+  void machinesWithLostReportsStillTakeCommands(int seconds, int count) throws Exception {
     random = new Random(seconds);
     taskRunTime = Duration.ofSeconds(70);
     startWithJobs(3, 14, 20, 2);
@@ -71,16 +76,17 @@
     loop.runFor(Duration.ofSeconds(seconds));
     reportsBlocked.clear();
     loop.runFor(Duration.ofSeconds(10));
-    assertRecovered(count + " mute for " + seconds + " s");
+    assertRecovered(count + " machines with lost reports for " + seconds + " s");
   }
 
   /**
-   * Far more work than there are machines, of all priorities, one array larger than the cluster, over slow
-   * links: nothing is placed twice, and the largest and the least urgent begin too.
+   * Far more work of all priorities than the machines can run, with one array larger than the
+   * cluster, over slow links. No task is placed twice, and the largest and the least urgent jobs
+   * start too.
    */
   @ParameterizedTest
   @CsvSource({"0, 0", "700, 0", "300, 0.3", "1500, 0.2"})
-  void moreWorkThanRoomOverSlowLinks(int slowMs, double late) throws Exception {
+  void moreWorkThanCapacityOverSlowLinks(int slowMs, double late) throws Exception {
     random = new Random(slowMs);
     taskRunTime = Duration.ofSeconds(4);
     maxStoreDelay = Duration.ofMillis(slowMs);
@@ -101,8 +107,9 @@
   }
 
   /**
-   * Jobs that may stand in one zone only, together or spread, lose most of its machines while the cloud has no
-   * more there for a while. What was lost begins again there and nowhere else, once there is room.
+   * Jobs that may run in one zone only, in one place or not, and jobs spread over zones lose most
+   * machines of a zone while the cloud has no more machines there. Lost tasks restart where their
+   * jobs may run and nowhere else, once there is capacity.
    */
   @ParameterizedTest
   @CsvSource({"0, ends", "30, ends", "30, blinks", "60, refused", "60, all end", "20, apart"})
@@ -112,15 +119,15 @@
     taskRunTime = Duration.ofSeconds(20);
     start(4, 18);
     for (int i = 0; i < 18; i++) {
-      JobKind shape = JobKind.values()[i % 3];
+      JobKind kind = JobKind.values()[i % 3];
       boolean scatter = i % 6 > 3;
-      submit("vision", shape, Priority.values()[i % 4], scatter ? 2 : 1 + i % 4, 1, 0, scatter ? null : "b", i % 2 == 0,
+      submit("vision", kind, Priority.values()[i % 4], scatter ? 2 : 1 + i % 4, 1, 0, scatter ? null : "b", i % 2 == 0,
           scatter && i % 2 == 1);
     }
     loop.runFor(Duration.ofSeconds(14));
-    List<EmulatedWorker> there = machines().stream().filter(worker -> worker.zone().equals("b")).toList();
-    assertTrue(there.size() > 2, "machines in the zone");
-    there.subList(0, there.size() * 3 / 4).forEach(EmulatedWorker::markDead);
+    List<EmulatedWorker> machinesInZone = machines().stream().filter(worker -> worker.zone().equals("b")).toList();
+    assertTrue(machinesInZone.size() > 2, "machines in the zone");
+    machinesInZone.subList(0, machinesInZone.size() * 3 / 4).forEach(EmulatedWorker::markDead);
     fullZones.add("b");
     loop.runFor(Duration.ofSeconds(1));
     inject(change, holder("ts/fleet"), Duration.ofSeconds(11));
--- a/src/test/java/io/tansystack/sim/ZonePartitionTest.java
+++ b/src/test/java/io/tansystack/sim/ZonePartitionTest.java
@@ -14,34 +14,38 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A zone is cut off from the state service, its machines are handed to controllers outside, and the cut ends
- * while the workers' leases, which the controllers inside have renewed, still run.
+ * Guards against tasks started twice after a zone partition: a zone is cut off from the state
+ * service, its machines fail over to controllers outside, and the partition ends while the workers'
+ * leases, which the controllers inside have renewed, are still valid.
  */
 class ZonePartitionTest extends FaultScenario {
   private static final int JOBS = 24;
   private static final int CANCELLED = 6;
   private static final int SHORT_JOBS = 6;
 
-  /** Values of {@code lease_s} and {@code cancel_s} that belong together. */
+  /** Pairs of valid values of {@code lease_s} and {@code cancel_s}. */
   private static final int[][] LEASES_AND_CANCELS = {{18, 43}, {36, 61}, {30, 55}};
 
   private static final Duration LONG_RUN = Duration.ofSeconds(100);
   private static final Duration SHORT_RUN = Duration.ofSeconds(2);
   private static final Duration SHORT_JOBS_EVERY = Duration.ofSeconds(4);
 
-  /** Jobs that follow the first ones are short: they keep machines outside rented, so that there is room. */
+  /**
+   * Jobs after the first ones are short: they keep machines outside rented, so that there is
+   * capacity.
+   */
   @Override
   Duration runTimeOf(String task) {
     int job = Integer.parseInt(task.substring("wk-".length(), task.indexOf('/')));
     return job < JOBS ? LONG_RUN : SHORT_RUN;
   }
 
-  private void keepMachinesOutside() {
+  private void keepOutsideMachinesRented() {
     submitJobs(SHORT_JOBS, 2);
-    loop.after(SHORT_JOBS_EVERY, this::keepMachinesOutside);
+    loop.after(SHORT_JOBS_EVERY, this::keepOutsideMachinesRented);
   }
 
-  /** Lengths of cuts in milliseconds, each with {@code lease_s} and {@code cancel_s} of the settings. */
+  /** Durations of partitions, each with {@code lease_s} and {@code cancel_s} of the settings. */
   static Stream<Arguments> cuts() {
     return Stream.of(
             cuts(20_000, 36_000, 250, 18, 43),
@@ -56,9 +60,10 @@
   }
 
   /**
-   * Half of the machines have a job that is cancelled outside while they are cut off, beside one that goes on.
-   * When they come back, what was cancelled is stopped by direct commands and their reports are not answered
-   * before that. Nothing of it proves that their leases have run out: what goes on there starts nowhere else.
+   * Half of the machines run a job that is cancelled outside while they are cut off, beside one
+   * that continues. When they are reachable again, the cancelled work is stopped by direct
+   * commands, and reports are not answered before that. None of this proves that the leases have
+   * expired: the job that continues there must not be started elsewhere.
    */
   @ParameterizedTest
   @MethodSource("cuts")
@@ -75,17 +80,18 @@
     partitionedZone = null;
     loop.runFor(Duration.ofSeconds(15));
     assertEquals(Set.of(), users().checker().violations);
-    long cancelled = users().jobs.values().stream().filter(told -> told.cancelled != null).count();
+    long cancelled = users().jobs.values().stream().filter(job -> job.cancelled != null).count();
     assertEquals(CANCELLED, cancelled, "confirmed cancellations");
   }
 
   /**
-   * The same with what else may meet a cut, drawn: more controllers, all of them away before it for longer than
-   * a lease, one outside that ends in it, commands and copies of reports that come late, a second cut.
+   * The same with other random conditions: another number of controllers, all of them down before
+   * the partition for longer than a lease, a crash of one outside during it, delayed commands and
+   * copies of reports, a second partition.
    */
   @ParameterizedTest
   @MethodSource("seeds")
-  void drawnCutsWithCancellationsBreakNoRule(long seed) throws Exception {
+  void randomPartitionsWithCancellationsBreakNoRule(long seed) throws Exception {
     Random draw = new Random(seed);
     int[] times = LEASES_AND_CANCELS[draw.nextInt(LEASES_AND_CANCELS.length)];
     random = new Random(seed);
@@ -105,7 +111,8 @@
     if (draw.nextInt(4) == 0) {
       loop.after(Duration.ofMillis(draw.nextInt(times[0] * 1000)), () -> restart(0, 500 + draw.nextInt(5000)));
     }
-    // From when the first handover's bound may pass until the last lease that was answered inside has run out.
+    // From the earliest possible end of the first failover's bound until the last lease renewed
+    // inside ends.
     loop.runFor(Duration.ofMillis(times[0] * 1000L + 3000 + draw.nextInt(16_000)));
     delayedCommandShare = draw.nextInt(3) == 0 ? 0.5 : 0;
     maxCommandDelay = Duration.ofSeconds(5);
@@ -135,11 +142,11 @@
     loop.runFor(Duration.ofSeconds(14));
   }
 
-  /** Cuts the zone off; from now on machines are rented outside, and kept there. */
+  /** Cuts the zone off; from now on machines are rented outside only, and kept there. */
   private void cutZoneB() {
     fullZones.clear();
     fullZones.add("b");
     partitionedZone = "b";
-    keepMachinesOutside();
+    keepOutsideMachinesRented();
   }
 }
