--- a/src/main/java/io/tansystack/cluster/SlotManager.java
+++ b/src/main/java/io/tansystack/cluster/SlotManager.java
@@ -29,7 +29,10 @@
   /** After the planners have changed, slots are rebalanced only once this time has passed. */
   private static final Duration STABILIZATION_DELAY = Duration.ofSeconds(4);
 
-  /** After this time the cluster state shows a committed write, or the key may be written again. */
+  /**
+   * Within this time the cluster state normally shows a committed write; after it, the key may be
+   * written again in any case.
+   */
   private static final Duration VISIBILITY_DELAY = Duration.ofSeconds(2);
 
   /** The time after which a claim that did not succeed may be tried again. */
@@ -47,7 +50,10 @@
   private final int controllerCount;
   private final Predicate<String> looksDown;
 
-  /** Keys being written; with the revision once it is committed, until the cluster state has it. */
+  /**
+   * The keys being written, each with the revision of the write: {@link Long#MAX_VALUE} until it is
+   * committed. An entry is removed once the cluster state includes the revision.
+   */
   private final Map<String, Long> inFlight = new HashMap<>();
   private Set<String> lastPlanners = Set.of();
   private boolean isPlanner;
--- a/src/main/java/io/tansystack/fleet/Autoscaler.java
+++ b/src/main/java/io/tansystack/fleet/Autoscaler.java
@@ -104,7 +104,8 @@
     // A machine list may be this old, and may be older than the list read before it.
     Duration maxListAge = settings.cloudLimits().listLag().multipliedBy(2).plusSeconds(2);
     CloudClient cloud =
-        new CloudClient(httpClient, loop, settings.cloudAddress(), settings.cloudLimits().rps() * 0.9);
+        new CloudClient(
+            httpClient, loop, settings.cloudAddress(), settings.cloudLimits().rps() * 0.9);
     this.releaser = new MachineReleaser(loop, cloud, store, clusterState);
     this.inventory =
         new Inventory(loop, cloud, clusterState, machineTypes::get, views, releaser, maxListAge);
@@ -216,7 +217,8 @@
           // If a large part of an owner's machines is silent, it is the owner that they can't
           // reach. The first machines over the limit are few, so those over half of it are counted
           // too.
-          if (suspectCount.get(owner) <= Math.max(2, ownedCount.get(owner) * WorkerManager.MASS_SILENCE_SHARE)) {
+          if (suspectCount.get(owner)
+              <= Math.max(2, ownedCount.get(owner) * WorkerManager.MASS_SILENCE_SHARE)) {
             names.forEach(
                 name ->
                     releaser.markForDeletion(
--- a/src/main/java/io/tansystack/fleet/JobArrivals.java
+++ b/src/main/java/io/tansystack/fleet/JobArrivals.java
@@ -34,7 +34,7 @@
   private Duration observedSince = Duration.ZERO;
   private boolean firstUpdate = true;
 
-  /** Starts anew: jobs that the next update finds are not known to have arrived recently. */
+  /** Discards all observations; jobs that the next update finds do not count as arrivals. */
   void reset(Duration now) {
     seen.clear();
     arrivals.clear();
--- a/src/main/java/io/tansystack/fleet/MachineReleaser.java
+++ b/src/main/java/io/tansystack/fleet/MachineReleaser.java
@@ -155,8 +155,9 @@
                 });
           }
         };
-    // The condition is needed: if the deletion was decided before the cache showed a claim batch,
-    // then without the machine's individual record the claim in that batch would take effect again.
+    // Without the condition, a deletion that was decided before the cache showed a claim batch
+    // could remove the machine's individual record, and the claim in that batch would take effect
+    // again.
     if (clusterState.placedOn(name).isEmpty()) {
       recordWriter.add(name, record.condition(), clusterState.deletion(name), callback);
     } else {
--- a/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
+++ b/src/main/java/io/tansystack/fleet/MachineTypeCatalog.java
@@ -46,7 +46,8 @@
     this.loop = loop;
     this.store = store;
     this.clusterState = clusterState;
-    this.cloud = new CloudClient(httpClient, loop, settings.cloudAddress(), settings.cloudLimits().rps());
+    this.cloud =
+        new CloudClient(httpClient, loop, settings.cloudAddress(), settings.cloudLimits().rps());
   }
 
   /** Reads the types from the cloud now and then periodically. */
@@ -93,7 +94,9 @@
 
   /** All types, from the stored record until the cloud has been read; empty if none are known. */
   public Collection<MachineType> all() {
-    if (!loadedFromCloud && clusterState.machineTypes() != null && clusterState.machineTypes() != loadedRecord) {
+    if (!loadedFromCloud
+        && clusterState.machineTypes() != null
+        && clusterState.machineTypes() != loadedRecord) {
       loadedRecord = clusterState.machineTypes();
       load(loadedRecord);
     }
--- a/src/main/java/io/tansystack/fleet/Rentals.java
+++ b/src/main/java/io/tansystack/fleet/Rentals.java
@@ -227,11 +227,14 @@
     List<Request> newRequests = new ArrayList<>();
     shortage.forEach(
         (offering, count) -> {
-          for (int remaining = count; remaining > 0; remaining -= CloudProtocol.MAX_MACHINES_PER_RENT) {
+          for (int remaining = count;
+              remaining > 0;
+              remaining -= CloudProtocol.MAX_MACHINES_PER_RENT) {
             if (newRequests.size() < calls) {
               String id = "r-" + fleetVersion + "-" + ++counter;
               newRequests.add(
-                  new Request(id, offering, Math.min(remaining, CloudProtocol.MAX_MACHINES_PER_RENT)));
+                  new Request(
+                      id, offering, Math.min(remaining, CloudProtocol.MAX_MACHINES_PER_RENT)));
             }
           }
         });
--- a/src/main/java/io/tansystack/fleet/ScaleDownPolicy.java
+++ b/src/main/java/io/tansystack/fleet/ScaleDownPolicy.java
@@ -140,7 +140,8 @@
       Duration keepFor =
           Duration.ofMillis(
               (long)
-                  (operator.idleReturnDelay().toMillis() * (i < needed ? factor : Math.min(1, factor))));
+                  (operator.idleReturnDelay().toMillis()
+                      * (i < needed ? factor : Math.min(1, factor))));
       if (now.minus(idleSince.get(machines.get(i).name())).compareTo(keepFor) > 0) {
         releaser.drain(machines.get(i), "idle");
       }
--- a/src/main/java/io/tansystack/peers/PeerLink.java
+++ b/src/main/java/io/tansystack/peers/PeerLink.java
@@ -29,13 +29,13 @@
 
 /**
  * The link between controllers: MessagePack over HTTP. Messages carry machine views and whether the
- * sender is able to schedule. All of them are hints; no rule relies on any message arriving.
+ * sender is able to schedule. All of them are hints; nothing relies on the arrival of a message.
  */
 public final class PeerLink {
   private static final Duration HEARTBEAT = Duration.ofMillis(500);
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
-  /** Multiplied by the square of the number of peers, as the number of messages grows with it. */
+  /** Send delay; multiplied by the squared number of peers, as the message count grows with it. */
   private static final Duration BASE_DELAY = Duration.ofMillis(10);
 
   /** Longer than one lost call plus the heartbeat that would then follow from the other side. */
@@ -97,7 +97,7 @@
     boolean sentCanSchedule;
     boolean isolated; // Whether the peer says that it gets no reports from its workers.
 
-    /** Successive calls without a response. The peer is called seldom then; it calls once back. */
+    /** Successive calls without a response; the peer is called rarely until it calls by itself. */
     int missedResponses;
 
     Duration unresponsiveSince;
@@ -187,14 +187,14 @@
     if (link.inFlight || now.compareTo(link.sentAt.plus(retryPause(link))) < 0) {
       return;
     }
-    boolean able = canSchedule.getAsBoolean();
+    boolean ableToSchedule = canSchedule.getAsBoolean();
     ObjectNode update = link.subscribed ? bootingUpdate : null;
     if (link.pending.isEmpty()
-        && able == link.sentCanSchedule
+        && ableToSchedule == link.sentCanSchedule
         && !heartbeatDue(link, update, now)) {
       return;
     }
-    ObjectNode message = status(able).put("from", label);
+    ObjectNode message = status(ableToSchedule).put("from", label);
     if (update != null) {
       message.set("fleet", update);
     }
@@ -211,7 +211,7 @@
     }
     byte[] body = encode(message);
     link.inFlight = true;
-    link.sentCanSchedule = able;
+    link.sentCanSchedule = ableToSchedule;
     link.sentAt = now;
     httpClient.call(
         link.peer.address(),
@@ -270,10 +270,10 @@
     return now.minus(quietSince).compareTo(HEARTBEAT.minusMillis(50)) >= 0;
   }
 
-  private ObjectNode status(boolean able) {
+  private ObjectNode status(boolean ableToSchedule) {
     return Cbor.map()
         .put("boot", incarnation)
-        .put("valid", able)
+        .put("valid", ableToSchedule)
         .put("deaf", isolated.getAsBoolean());
   }
 
--- a/src/main/java/io/tansystack/recovery/CommandThrottle.java
+++ b/src/main/java/io/tansystack/recovery/CommandThrottle.java
@@ -30,6 +30,7 @@
 
   private final EventLoop loop;
   private final Consumer<String> retry;
+
   /** The machines whose commands are held back, by urgency, each in the order of arrival. */
   private final List<Set<String>> waitingMachines = new ArrayList<>();
 
@@ -98,7 +99,8 @@
    */
   public boolean admit(String machine, int urgency, int commandCount) {
     boolean unblocked = !active() || machine.equals(retriedMachine) || noneWaiting(urgency);
-    boolean admitted = unblocked && (!active() || budget.tryAcquire(commandCount, true, loop.now()));
+    boolean admitted =
+        unblocked && (!active() || budget.tryAcquire(commandCount, true, loop.now()));
     if (admitted || urgency == Reconciliation.STOP_URGENCY) {
       waitingMachines.forEach(machines -> machines.remove(machine));
       return true;
--- a/src/main/java/io/tansystack/recovery/OwnerLiveness.java
+++ b/src/main/java/io/tansystack/recovery/OwnerLiveness.java
@@ -28,7 +28,10 @@
     UNFIT
   }
 
-  /** Peers start about as late as this controller does; none is overdue before this time. */
+  /**
+   * After a full restart the other controllers start at about the same time as this one: none is
+   * overdue before this time has passed.
+   */
   private static final Duration STABILIZATION_DELAY = Duration.ofMillis(2500);
 
   /**
--- a/src/main/java/io/tansystack/recovery/Reconciliation.java
+++ b/src/main/java/io/tansystack/recovery/Reconciliation.java
@@ -18,8 +18,8 @@
 /**
  * The differences between the placements recorded on a machine and the tasks that its worker
  * reports, as the commands that resolve them. This is a pure function of both and is computed again
- * for every report and record, so no state has to survive a restart, and what was done already is
- * no difference any more.
+ * for every report and record, so no state has to survive a restart, and a command that was
+ * executed is not sent again.
  *
  * <table>
  *   <caption>Record, report, and what follows</caption>
--- a/src/main/java/io/tansystack/store/RateBudget.java
+++ b/src/main/java/io/tansystack/store/RateBudget.java
@@ -38,8 +38,9 @@
   }
 
   /**
-   * Takes {@code count} tokens, or none and returns false. It needs only one token, beyond the
-   * reserve if not urgent, so the balance may become negative.
+   * Takes {@code count} tokens and returns true, or takes none and returns false. One available
+   * token is enough (one beyond the reserve if the request is not urgent), so the balance may
+   * become negative.
    */
   public boolean tryAcquire(int count, boolean urgent, Duration now) {
     refill(now);
--- a/src/main/java/io/tansystack/workers/CancellationTracker.java
+++ b/src/main/java/io/tansystack/workers/CancellationTracker.java
@@ -24,14 +24,14 @@
  * <p>A machine's owner stops cancelled tasks by direct commands. These may be lost or executed much
  * later, while reports still arrive and the responses to them renew the worker's lease: the tasks
  * would run on for as long as that lasts. So a report of a machine that may have such tasks is not
- * answered once {@code life}, the duration of a controller's lease, has passed since the last
- * moment at which the cluster state cache can have been without the cancellation. Cancelled tasks
- * therefore run for at most {@code life + lease_s}, whether or not the owner has seen the
- * cancellation, and whatever becomes of its commands.
+ * answered once the duration of a controller's lease has passed since the last moment at which the
+ * cluster state cache can have been without the cancellation. Cancelled tasks therefore run for at
+ * most that duration plus {@code lease_s}, whether or not the owner has seen the cancellation, and
+ * whatever becomes of its commands.
  *
  * <p>A process that has just started had no cache before and would count from its own first load:
- * repeated restarts, each sooner than {@code life}, would extend the time of cancelled tasks every
- * time. So the job's record contains the time of day at which the cancellation was sent to the
+ * repeated restarts, each sooner than that duration, would extend the time of cancelled tasks every
+ * time. So the job's record contains the wall-clock time at which the cancellation was sent to the
  * state service, which was before the user got the response. Each of the two clocks may be off by
  * {@code skew}, in opposite directions, so only the age that this time proves is taken into
  * account. Of the moment derived from it and the one given by the cache, the earlier one counts.
@@ -46,7 +46,7 @@
   private final Map<String, Duration> cancelledSince = new HashMap<>();
 
   /**
-   * @param notCommittedBefore the moment up to which the cache was complete before its newest
+   * @param notCommittedBefore the moment as of which the cache was up to date before its newest
    *     changes: these were committed later
    */
   CancellationTracker(
@@ -73,8 +73,8 @@
   }
 
   /**
-   * The moment from which {@code life} counts for a cancellation. The time of day is converted to
-   * monotonic time only once, so that a later clock adjustment does not move it.
+   * The moment from which the lease duration counts for a cancellation. The wall-clock time is
+   * converted to monotonic time only once, so that a later clock adjustment does not move it.
    */
   private Duration countsFrom(long cancelledMs) {
     Duration notBefore = notCommittedBefore.get();
@@ -104,7 +104,8 @@
           cancelledAt != null
               && !lease.isRecent(cancelledAt)
               && placement.session() == report.session()
-              && (!reportIsComplete || listsAsRunning(report, indexed.jobId(), placement.attempt()));
+              && (!reportIsComplete
+                  || listsAsRunning(report, indexed.jobId(), placement.attempt()));
     }
     if (mustExpire && !machine.leftToExpire) {
       log.warn(
--- a/src/main/java/io/tansystack/workers/CommandSender.java
+++ b/src/main/java/io/tansystack/workers/CommandSender.java
@@ -123,7 +123,8 @@
     if (throttle.admit(machine.name, toSend.urgency(), commands.size())) {
       toSend
           .stops()
-          .forEach(h -> machine.stopSentAt.put(new TaskAttempt(h.task(), h.attempt()), now));
+          .forEach(
+              stop -> machine.stopSentAt.put(new TaskAttempt(stop.task(), stop.attempt()), now));
       machine.forgetsDueAt = now.plus(FORGET_DELAY);
       send(machine, token, machine.latest.session(), commands);
     }
--- a/src/main/java/io/tansystack/workers/MachineClaims.java
+++ b/src/main/java/io/tansystack/workers/MachineClaims.java
@@ -81,7 +81,7 @@
 
   /**
    * @param unfit controllers to which no worker should be redirected
-   * @param recovery judges owners that don't act, and fails their machines over
+   * @param recovery evaluates owners that don't respond, and fails their machines over
    * @param mayAnswer whether a record is this controller's own and its worker may be answered under
    *     it
    */
@@ -140,12 +140,12 @@
   }
 
   /**
-   * Handles the report of a worker that this controller does not own, and whose owner is not
-   * expected back. If the owner is alive, the worker is redirected to it, unless this controller is
-   * in the worker's zone and the owner is not. If there is no live owner and this controller is not
-   * in the worker's zone, the worker is redirected to a controller that is, if one is fit for
-   * workers. In all other cases, and if the worker keeps coming back although it was redirected,
-   * its machine is claimed.
+   * Handles the report of a worker whose machine this controller does not own, and whose owner is
+   * not expected back. If the owner is alive, the worker is redirected to it, unless this
+   * controller is in the worker's zone and the owner is not. If there is no live owner and this
+   * controller is not in the worker's zone, the worker is redirected to a controller that is, if
+   * one is fit for workers. In all other cases, and if the worker keeps coming back although it was
+   * redirected, its machine is claimed.
    */
   void claimOrRedirect(MachineRecord record, Report report, Reply reply) {
     Duration now = loop.now();
@@ -347,10 +347,12 @@
     }
   }
 
-  /** Fails over the machines of an owner that is gone and overdue. */
+  /** Fails over the machines of an owner that has no record and is overdue. */
   void failOverIfOverdue(MachineRecord orphan) {
     if (recovery.ownerLiveness().verdict(orphan.owner()) == Verdict.LATE) {
-      recovery.failoverCoordinator().failOver(orphan, orphan.owner() + " is overdue and owns machines");
+      recovery
+          .failoverCoordinator()
+          .failOver(orphan, orphan.owner() + " is overdue and owns machines");
     }
   }
 }
--- a/src/main/java/io/tansystack/workers/MachineView.java
+++ b/src/main/java/io/tansystack/workers/MachineView.java
@@ -234,7 +234,8 @@
         .fields()
         .forEachRemaining(e -> images.put(e.getKey(), e.getValue().asDouble()));
     return new MachineView(
-        Report.read(FieldReader.map(map, "report")).withTasks(readTasks(FieldReader.list(map, "tasks"))),
+        Report.read(FieldReader.map(map, "report"))
+            .withTasks(readTasks(FieldReader.list(map, "tasks"))),
         FieldReader.integer(map, "token"),
         absentAttempts,
         images,
--- a/src/main/java/io/tansystack/workers/TerminationProofs.java
+++ b/src/main/java/io/tansystack/workers/TerminationProofs.java
@@ -23,12 +23,12 @@
  *   <li>the machine reports a later session than the placement's: the tasks of the earlier session
  *       were killed, and a start command names its session, so none can be started in it any more;
  *   <li>the machine's record is gone: it is deleted only after the cloud has confirmed the
- *       machine's deletion, or after the worker's lease has certainly expired; <li>the owner
- *       confirms that an unwanted attempt is not on the machine and that it won't start it. This is
- *       true only while that owner owns the machine, so the write that removes the placement has
- *       the machine's version as a condition. A restarted owner keeps the machine under a higher
- *       token; it acts on records that show the attempt as unwanted too, so it won't start it
- *       either.
+ *       machine's deletion, or after the worker's lease has certainly expired;
+ *   <li>the owner confirms that an unwanted attempt is not on the machine and that it won't start
+ *       it. This is true only while that owner owns the machine, so the write that removes the
+ *       placement has the machine's version as a condition. A restarted owner keeps the machine
+ *       under a higher token; it acts on records that show the attempt as unwanted too, so it won't
+ *       start it either.
  * </ol>
  *
  * @param ended attempts that have ended
--- a/src/main/java/io/tansystack/workers/WorkerLeaseMonitor.java
+++ b/src/main/java/io/tansystack/workers/WorkerLeaseMonitor.java
@@ -23,7 +23,7 @@
   /** Workers try one controller after the other, with a timeout of 4 s for each report. */
   private static final Duration RECONNECT_TIME = Duration.ofSeconds(10);
 
-  /** Monotonic clocks drift apart by up to 0.05%; a span divided by this is four times that. */
+  /** Monotonic clocks drift apart by up to 0.05%; 1/500 of a time span is four times that. */
   private static final int DRIFT_DIVISOR = 500;
 
   /** Timers have a coarse resolution and fire late. */
--- a/src/main/java/io/tansystack/workers/WorkerManager.java
+++ b/src/main/java/io/tansystack/workers/WorkerManager.java
@@ -46,10 +46,7 @@
  * followed by a new claim, whose token invalidates it.
  */
 public final class WorkerManager {
-  /**
-   * If more than this share of a controller's machines is silent at once, the cause is that
-   * controller or the network, not the machines.
-   */
+  /** If more than this share is silent at once, the machines' owner or the network is at fault. */
   public static final double MASS_SILENCE_SHARE = 0.34;
 
   private static final Logger log = LoggerFactory.getLogger(WorkerManager.class);
@@ -200,7 +197,8 @@
       }
       machine.onAnswered(report, token, now);
       if (machine.latest == null) {
-        lostTasks += StartupLogger.countLostTasks(clusterState.placedOn(record.name()), report.session());
+        lostTasks +=
+            StartupLogger.countLostTasks(clusterState.placedOn(record.name()), report.session());
       }
       reply.send(200, machine.response(token));
     }
@@ -257,7 +255,9 @@
   public void onClusterStateChange(ClusterStateDelta delta) {
     cancellations.onClusterStateChange(delta);
     claims.onClusterStateChange();
-    if (delta.controllersChanged() && clusterState.alive(label, incarnation) && machines.isEmpty()) {
+    if (delta.controllersChanged()
+        && clusterState.alive(label, incarnation)
+        && machines.isEmpty()) {
       trackOwnMachines();
     }
     for (String name : Sets.union(delta.machines(), delta.placementsChangedOn())) {
@@ -308,7 +308,7 @@
     heartbeats.evaluate(machines.all(), now);
   }
 
-  /** Fails over the machines of an owner that is gone and overdue. */
+  /** Fails over the machines of an owner that has no record and is overdue. */
   public void failOverIfOverdue(MachineRecord orphan) {
     claims.failOverIfOverdue(orphan);
   }
@@ -392,7 +392,6 @@
     return machines.publishedViews();
   }
 
-  /** Names of the machines that this controller owns. */
   public Collection<String> ownedMachines() {
     return machines.names();
   }
--- a/src/test/java/io/tansystack/cluster/ControllerLeaseTest.java
+++ b/src/test/java/io/tansystack/cluster/ControllerLeaseTest.java
@@ -15,7 +15,9 @@
 
   /** Seconds: the report interval, a worker's lease, and the time limit for cancellations. */
   @ParameterizedTest
-  @CsvSource({"3,36,61", "5,36,61", "3,18,43", "4,18,43", "6,30,55", "6,30,35", "1,5,60", "2,100,600"})
+  @CsvSource({
+    "3,36,61", "5,36,61", "3,18,43", "4,18,43", "6,30,55", "6,30,35", "1,5,60", "2,100,600"
+  })
   void workOfACutOffControllerEndsBeforeTheCancelDeadline(
       double report, double lease, double cancel) {
     Duration leaseDuration = ControllerLease.leaseDurationFor(seconds(cancel), seconds(lease));
--- a/src/test/java/io/tansystack/cluster/MachineRegistryTest.java
+++ b/src/test/java/io/tansystack/cluster/MachineRegistryTest.java
@@ -158,11 +158,11 @@
       effective.add(ChangeSequences.clusterState(history.subList(0, r)).machine(MACHINE));
     }
     for (int r = 0; r <= history.size(); r++) {
-      MachineRecord then = effective.get(r);
+      MachineRecord earlier = effective.get(r);
       boolean throughout =
           effective.subList(r, effective.size()).stream().allMatch(Objects::nonNull);
-      if (then != null && throughout && ChangeSequences.holds(then.condition(), present)) {
-        assertEquals(then, now.machine(MACHINE), "unchanged since " + r + ": " + history);
+      if (earlier != null && throughout && ChangeSequences.holds(earlier.condition(), present)) {
+        assertEquals(earlier, now.machine(MACHINE), "unchanged since " + r + ": " + history);
       }
       Map<String, Change> early = ChangeSequences.present(history.subList(0, r));
       for (int late = r; late <= history.size(); late++) {
--- a/src/test/java/io/tansystack/cluster/SubmissionBatchesTest.java
+++ b/src/test/java/io/tansystack/cluster/SubmissionBatchesTest.java
@@ -46,7 +46,9 @@
         switch (text.substring(0, 3)) {
           case "own" -> record.write();
           case "put" ->
-              record.placed(List.of(new JobRecord.Assignment("n-1", 1, TaskSet.range(0, 1)))).write();
+              record
+                  .placed(List.of(new JobRecord.Assignment("n-1", 1, TaskSet.range(0, 1))))
+                  .write();
           case "end" -> record.cancelled(1).write();
           default -> ClusterState.submissionBatch(List.of(record));
         };
--- a/src/test/java/io/tansystack/cluster/WallClockConverterTest.java
+++ b/src/test/java/io/tansystack/cluster/WallClockConverterTest.java
@@ -22,21 +22,22 @@
    */
   @ParameterizedTest
   @CsvSource({
-    "0, 0, 10000, 9500", "250, -250, 10000, 9000", "-250, 250, 10000, 10000", "250, 250, 10000, 9500",
+    "0, 0, 10000, 9500", "250, -250, 10000, 9000", "-250, 250, 10000, 10000",
+    "250, 250, 10000, 9500",
     "0, 0, 500, 0", "0, 0, 0, 0", "250, -250, 0, 0", "-250, 250, 0, 0", "-250, 250, 100, 100"
   })
   void neverComputesATimeEarlierThanTheActualOne(
       long writerMs, long ownMs, long agoMs, long provenMs) {
     SimEventLoop loop = new SimEventLoop();
     long written = loop.now().toMillis() + writerMs;
-    Duration then = loop.now();
+    Duration actual = loop.now();
     loop.runFor(Duration.ofMillis(agoMs));
     WallClockConverter converter =
         new WallClockConverter(
             loop, () -> Instant.ofEpochMilli(loop.now().toMillis() + ownMs), SKEW);
     Duration latest = converter.latest(written);
     assertEquals(Duration.ofMillis(provenMs), loop.now().minus(latest));
-    assertTrue(latest.compareTo(then) >= 0);
-    assertTrue(latest.minus(then).compareTo(SKEW.multipliedBy(4)) <= 0);
+    assertTrue(latest.compareTo(actual) >= 0);
+    assertTrue(latest.minus(actual).compareTo(SKEW.multipliedBy(4)) <= 0);
   }
 }
--- a/src/test/java/io/tansystack/fleet/BootTimeEstimatorTest.java
+++ b/src/test/java/io/tansystack/fleet/BootTimeEstimatorTest.java
@@ -5,6 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Checks which booting machines count as pending capacity, and which have timed out. */
 class BootTimeEstimatorTest {
   /**
    * Columns: ages of the booting machines of a type with a stated boot time of 40 s; boot times of
--- a/src/test/java/io/tansystack/fleet/JobArrivalsTest.java
+++ b/src/test/java/io/tansystack/fleet/JobArrivalsTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Checks the estimate of machines needed for arriving jobs, and the end of arrivals. */
 class JobArrivalsTest {
   private static final MachineType TYPE =
       new MachineType("g", 16, 4, 64, 50, 0.5, 10, 3, 40, List.of("a"));
--- a/src/test/java/io/tansystack/fleet/MachineRecordWriterTest.java
+++ b/src/test/java/io/tansystack/fleet/MachineRecordWriterTest.java
@@ -39,7 +39,9 @@
         boolean conflict = decode(body).toString().contains("\"ts/machines/n-7\"");
         loop.after(
             Duration.ofMillis(5),
-            () -> handler.onResponse(conflict ? 409 : 200, Cbor.encode(Cbor.map().put("Ledger", 9))));
+            () ->
+                handler.onResponse(
+                    conflict ? 409 : 200, Cbor.encode(Cbor.map().put("Ledger", 9))));
       };
 
   private final StoreClient store =
--- a/src/test/java/io/tansystack/recovery/OwnerLivenessTest.java
+++ b/src/test/java/io/tansystack/recovery/OwnerLivenessTest.java
@@ -35,7 +35,7 @@
   private boolean heardFrom;
   private boolean refusesConnections;
   private boolean unresponsive;
-  private final OwnerLiveness owners =
+  private final OwnerLiveness ownerLiveness =
       new OwnerLiveness(
           loop,
           clusterState,
@@ -86,7 +86,7 @@
       boolean unresponsive,
       OwnerLiveness.Verdict first,
       int afterMs,
-      OwnerLiveness.Verdict then) {
+      OwnerLiveness.Verdict later) {
     acceptJob();
     if (recorded) {
       record("one");
@@ -95,9 +95,9 @@
     this.heardFrom = heardFrom;
     this.refusesConnections = refusesConnections;
     this.unresponsive = unresponsive;
-    assertEquals(first, owners.verdict("c"));
+    assertEquals(first, ownerLiveness.verdict("c"));
     loop.runFor(Duration.ofMillis(afterMs));
-    assertEquals(then, owners.verdict("c"));
+    assertEquals(later, ownerLiveness.verdict("c"));
   }
 
   @Test
@@ -105,19 +105,19 @@
     acceptJob();
     record("one");
     heardFrom = true;
-    assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.HERE, ownerLiveness.verdict("c"));
     loop.runFor(Duration.ofSeconds(60));
     unfit = true; // It says that it receives no reports: its workers have no time to lose.
-    assertEquals(OwnerLiveness.Verdict.UNFIT, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.UNFIT, ownerLiveness.verdict("c"));
     record("two"); // It has registered again, and reports that it may not act yet.
-    assertEquals(OwnerLiveness.Verdict.AWAITED, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.AWAITED, ownerLiveness.verdict("c"));
     unfit = false;
-    assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.HERE, ownerLiveness.verdict("c"));
   }
 
   private Duration runUntilLate() {
     Duration from = loop.now();
-    while (owners.verdict("c") != OwnerLiveness.Verdict.LATE) {
+    while (ownerLiveness.verdict("c") != OwnerLiveness.Verdict.LATE) {
       loop.runFor(Duration.ofMillis(100));
       assertTrue(loop.now().minus(from).compareTo(Duration.ofSeconds(60)) < 0);
     }
@@ -137,7 +137,7 @@
     heardFrom = true;
     boolean activeBeforeTheEnd = startsAfterMs == 0;
     if (activeBeforeTheEnd) {
-      assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
+      assertEquals(OwnerLiveness.Verdict.HERE, ownerLiveness.verdict("c"));
     }
     Duration ended = loop.now();
     refusesConnections = true;
@@ -161,21 +161,21 @@
     acceptJob();
     record("one");
     heardFrom = true;
-    owners.verdict("c");
+    ownerLiveness.verdict("c");
     refusesConnections = true;
     unfit = true;
-    owners.verdict("c");
+    ownerLiveness.verdict("c");
     loop.runFor(Duration.ofSeconds(1));
     refusesConnections = false;
     unfit = false;
     record("two");
-    assertEquals(OwnerLiveness.Verdict.HERE, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.HERE, ownerLiveness.verdict("c"));
     loop.runFor(Duration.ofSeconds(60));
     unfit = true;
     refusesConnections = true;
     record(null);
     // Its record has outlived it by 4.5 s already, which is far longer than any restart has taken.
-    assertEquals(OwnerLiveness.Verdict.LATE, owners.verdict("c"));
+    assertEquals(OwnerLiveness.Verdict.LATE, ownerLiveness.verdict("c"));
   }
 
   @Test
--- a/src/test/java/io/tansystack/workers/OwnedMachineTest.java
+++ b/src/test/java/io/tansystack/workers/OwnedMachineTest.java
@@ -94,9 +94,9 @@
           answered 3, changed 8, answered 9 | 25
           """)
   void leaseCountsFromFormerOwnersAnswersUntilTokenIsReported(String events, int lastAnswerS) {
-    Duration life = Duration.ofSeconds(17);
+    Duration leaseDuration = Duration.ofSeconds(17);
     OwnedMachine machine =
-        new OwnedMachine("n-1", new MachineHistory(50), Duration.ZERO, TOKEN, life);
+        new OwnedMachine("n-1", new MachineHistory(50), Duration.ZERO, TOKEN, leaseDuration);
     long revision = TOKEN;
     int sequence = 0;
     for (String event : events.split(", ")) {
@@ -109,7 +109,7 @@
           machine.apply(report);
         }
         case "shown" -> machine.onTokenReported(now);
-        case "changed" -> machine.updateOwnedSince(++revision, now.plus(life));
+        case "changed" -> machine.updateOwnedSince(++revision, now.plus(leaseDuration));
         default -> assertEquals("none", parts[0]);
       }
     }
