--- a/src/main/java/io/tansystack/jobs/FallbackProofWriter.java
+++ b/src/main/java/io/tansystack/jobs/FallbackProofWriter.java
@@ -69,8 +69,9 @@
 
   /**
    * Writes proofs that have been known here for a while and that the slot's holder has not applied,
-   * for instance because it can't be reached. The version of the job's record is a sufficient
-   * condition for such a write, and users learn that their job is finished.
+   * for instance because it can't be reached; users then learn that their job is finished without
+   * waiting for the holder. The version of the job's record is a sufficient condition for such a
+   * write.
    */
   void applyOverdueProofs() {
     Duration now = loop.now();
--- a/src/main/java/io/tansystack/jobs/JobScheduler.java
+++ b/src/main/java/io/tansystack/jobs/JobScheduler.java
@@ -123,7 +123,9 @@
         new Planner.Bounds(
             sizeLimit,
             settings.stateServiceLimits().maxTxnOps() * 2,
-            Math.max(MIN_PLANNED_JOBS, (int) (settings.stateServiceLimits().writeRps() * PLANNED_AHEAD_S)));
+            Math.max(
+                MIN_PLANNED_JOBS,
+                (int) (settings.stateServiceLimits().writeRps() * PLANNED_AHEAD_S)));
     this.schedulingState =
         new SchedulingState(
             loop, clusterState, slotManager, settings, views, machineTypes, clock, coverage);
--- a/src/main/java/io/tansystack/jobs/JobStateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/JobStateBuilder.java
@@ -21,7 +21,7 @@
    * Age at which a job that was never placed must not wait much longer: users expect the largest
    * jobs to begin within four minutes.
    */
-  private static final Duration DUE_AFTER = Duration.ofSeconds(150);
+  private static final Duration START_OVERDUE_AFTER = Duration.ofSeconds(150);
 
   private static final long DEFAULT_PREEMPTION_DELAY_MS = 1000;
   private static final long MAX_PREEMPTION_DELAY_MS = 2000;
@@ -69,6 +69,6 @@
         suspected,
         record.active() ? deadlines.missedObjectives(record, wallMs) : 0,
         failures.excludedMachines(id, now),
-        record.neverPlaced() && ageMs >= DUE_AFTER.toMillis());
+        record.neverPlaced() && ageMs >= START_OVERDUE_AFTER.toMillis());
   }
 }
--- a/src/main/java/io/tansystack/jobs/MachineStateBuilder.java
+++ b/src/main/java/io/tansystack/jobs/MachineStateBuilder.java
@@ -62,7 +62,7 @@
         }
       }
     }
-    boolean open =
+    boolean acceptsTasks =
         view != null
             && !record.drain()
             && !faulty
@@ -78,7 +78,7 @@
         record.zone(),
         record.spot(),
         view == null ? 0 : view.report().session(),
-        open,
+        acceptsTasks,
         record.drain(),
         view == null ? Set.of() : view.images().keySet(),
         fetchingImages,
--- a/src/main/java/io/tansystack/jobs/PlanWriter.java
+++ b/src/main/java/io/tansystack/jobs/PlanWriter.java
@@ -59,8 +59,8 @@
   /** A small round follows the last round after this many times the usual interval. */
   private static final int SMALL_ROUND_INTERVALS = 4;
 
-  /** At most this many available writes are awaited before a team's record is written. */
-  private static final int TEAM_BATCH_WRITES = 8;
+  /** At most this many writes have to be available before a team's record is written. */
+  private static final int TEAM_BATCH = 8;
 
   /** Maximum size of the records; the rest of a transaction's 64 KiB is for its conditions. */
   private static final int MAX_BYTES = 56 << 10;
@@ -212,15 +212,15 @@
   }
 
   /**
-   * Returns how many writes must be available before the next transaction is sent. If transactions
-   * were sent as soon as possible while the write limit is used up, every single placement would
-   * need another write of its team's record.
+   * Returns how many writes must be available for the next transaction. If each was sent as soon as
+   * possible, at the write limit every single placement would need a write of its team's record.
    */
   private int minBatchSize(List<JobUpdate> ready) {
     if (!hasTeamLimit(ready.get(0))) {
       return 1;
     }
-    return Math.max(2, Math.min(Math.min(TEAM_BATCH_WRITES, store.halfOfMaxAvailableWrites()), ready.size() + 1));
+    return Math.max(
+        2, Math.min(Math.min(TEAM_BATCH, store.halfOfMaxAvailableWrites()), ready.size() + 1));
   }
 
   /** Small rounds of a running array wait longer: capacity becomes free for it task by task. */
--- a/src/main/java/io/tansystack/jobs/ReclaimNotices.java
+++ b/src/main/java/io/tansystack/jobs/ReclaimNotices.java
@@ -29,7 +29,7 @@
     machines.remove(machine);
   }
 
-  /** Returns the IDs of jobs with a recorded placement on such a machine. */
+  /** Returns the IDs of jobs with a recorded placement on one of these machines. */
   Set<String> affectedJobs() {
     Set<String> jobs = new HashSet<>();
     for (String machine : machines) {
--- a/src/main/java/io/tansystack/jobs/SchedulingState.java
+++ b/src/main/java/io/tansystack/jobs/SchedulingState.java
@@ -34,8 +34,8 @@
 
 /**
  * The jobs and machines that a pass plans from. Each job's record has all known proofs applied and
- * includes this controller's own writes that the local cache does not show yet. It is kept up to
- * date incrementally, for the jobs and machines that changes concern.
+ * includes this controller's own writes that the local cache does not show yet. After a change,
+ * only the affected jobs and machines are derived again.
  */
 final class SchedulingState {
   private static final Logger log = LoggerFactory.getLogger(SchedulingState.class);
@@ -96,7 +96,8 @@
     this.coverage = coverage;
     this.reclaimNotices = new ReclaimNotices(clusterState);
     this.machineStates =
-        new MachineStateBuilder(clusterState, views, machineTypes, settings.workerTimings().reportInterval());
+        new MachineStateBuilder(
+            clusterState, views, machineTypes, settings.workerTimings().reportInterval());
     this.jobStates = new JobStateBuilder(settings.objectives(), failures, coverage);
     settings.teams().forEach(team -> teams.put(team.name(), team));
     // Besides the machines chosen in a round, a transaction has conditions on the slot, the job's
@@ -120,7 +121,7 @@
       onMachineChange(machine);
     }
     if (delta.controllersChanged() && nowPlanning) {
-      markAllDirty(); // A machine's token and whether it is open depend on its owner's record.
+      markAllDirty(); // Tokens, and which machines accept tasks, depend on the owners' records.
     }
   }
 
--- a/src/main/java/io/tansystack/schedule/AcceleratorReservation.java
+++ b/src/main/java/io/tansystack/schedule/AcceleratorReservation.java
@@ -53,7 +53,9 @@
     }
 
     private void recount(MachineCapacity machine) {
-      if (machine.state.type().gpus() > 0 && machine.state.acceptsTasks() && allows(spec, machine)) {
+      if (machine.state.type().gpus() > 0
+          && machine.state.acceptsTasks()
+          && allows(spec, machine)) {
         int fitting = machine.fits(spec);
         fittingTasks += fitting - fittingByMachine.put(machine, fitting);
       }
--- a/src/main/java/io/tansystack/schedule/CandidateSelector.java
+++ b/src/main/java/io/tansystack/schedule/CandidateSelector.java
@@ -42,8 +42,8 @@
   private static final int WHOLE_FRAGMENTED = 2;
 
   /**
-   * One whole machine, and one more for every this many machines of the cluster, is left for larger
-   * tasks as long as other machines will do.
+   * One whole machine, and one more for each group of this many machines in the cluster, is left
+   * for larger tasks as long as other machines will do.
    */
   private static final int MACHINES_PER_SPARE_WHOLE = 50;
 
--- a/src/main/java/io/tansystack/schedule/CapacityIndex.java
+++ b/src/main/java/io/tansystack/schedule/CapacityIndex.java
@@ -59,7 +59,7 @@
     return allowed;
   }
 
-  /** Accepts machines that are open and that the request allows, whether the task fits or not. */
+  /** Matches machines that accept tasks and that the request allows, whether a task fits or not. */
   Predicate<MachineCapacity> allowed(ResourceRequest request) {
     BitSet allowedOfferings = match(request).allowedOfferings;
     return machine -> machine.state.acceptsTasks() && allowedOfferings.get(machine.offeringNumber);
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Open machines that the request allows and that one such task fits on now, in the order of
-   * names. The returned list is an unmodifiable view.
+   * Machines that accept tasks, that the request allows and on which one such task fits now, in the
+   * order of names. The returned list is an unmodifiable view.
    */
   List<MachineCapacity> fitting(ResourceRequest request) {
     CachedMatch match = searchedMatch(request);
--- a/src/main/java/io/tansystack/schedule/CapacityReclaimer.java
+++ b/src/main/java/io/tansystack/schedule/CapacityReclaimer.java
@@ -12,8 +12,8 @@
 import java.util.function.Predicate;
 
 /**
- * Finds capacity for tasks that don't fit into the free capacity: first capacity that tasks being
- * stopped release, then capacity of tasks that it preempts.
+ * Finds capacity for tasks that don't fit into the free capacity: first the capacity of tasks that
+ * are being stopped already, then that of tasks that are preempted for this purpose.
  */
 final class CapacityReclaimer {
   private final ClusterCapacity clusterCapacity;
--- a/src/main/java/io/tansystack/schedule/ClusterCapacity.java
+++ b/src/main/java/io/tansystack/schedule/ClusterCapacity.java
@@ -44,10 +44,13 @@
 
   /** Each offering's position in {@link #offerings}. */
   private final Map<MachineOffering, Integer> offeringNumbers = new HashMap<>();
+
   private final List<MachineOffering> offerings = new ArrayList<>();
   private final Set<String> zones = new TreeSet<>();
+
   /** Number of machines by offering number. */
   private final Map<Integer, Integer> machinesByOffering = new TreeMap<>();
+
   private final Map<Integer, MachineType> typeByOffering = new HashMap<>();
 
   /**
--- a/src/main/java/io/tansystack/schedule/Consolidation.java
+++ b/src/main/java/io/tansystack/schedule/Consolidation.java
@@ -154,7 +154,7 @@
     for (JobSpec spec : tasks) {
       FreeCapacity target = null;
       for (FreeCapacity candidate : byPrice) {
-        // Only a machine that is cheaper, or one that stays rented for its other tasks anyway.
+        // The target must be cheaper, or stay rented for its other tasks anyway.
         if (candidate != source
             && !candidate.drained
             && candidate.fits(spec)
--- a/src/main/java/io/tansystack/schedule/MachineCapacity.java
+++ b/src/main/java/io/tansystack/schedule/MachineCapacity.java
@@ -22,9 +22,9 @@
    * Preempted first: lowest priority, then the job submitted last, then the attempt started last.
    */
   private static final Comparator<AllocatedTasks> PREEMPTION_ORDER =
-      Comparator.comparingInt((AllocatedTasks h) -> -h.priority().ordinal())
-          .thenComparingLong(h -> -h.submittedMs())
-          .thenComparingLong(h -> -h.placement().attempt());
+      Comparator.comparingInt((AllocatedTasks tasks) -> -tasks.priority().ordinal())
+          .thenComparingLong(tasks -> -tasks.submittedMs())
+          .thenComparingLong(tasks -> -tasks.placement().attempt());
 
   /** Index of the machine's offering in {@link ClusterCapacity#offerings}. */
   final int offeringNumber;
@@ -48,7 +48,7 @@
 
   /**
    * Sums of CPUs, GPUs and memory of the tasks that are not being stopped: three entries for each
-   * priority. They show without a look at the tasks where preemption can't help.
+   * priority. They show, without examining the tasks, on which machines preemption can't help.
    */
   private final double[] allocatedByPriority = new double[3 * Priority.values().length];
 
--- a/src/main/java/io/tansystack/schedule/MachineHistory.java
+++ b/src/main/java/io/tansystack/schedule/MachineHistory.java
@@ -22,8 +22,8 @@
   private static final double BANDWIDTH_WEIGHT = 0.4;
 
   /**
-   * Least weight of the latest run in the moving average of run time ratios; the first four runs are
-   * averaged with equal weights.
+   * Least weight of the latest run in the moving average of run time ratios; the first four runs
+   * are averaged with equal weights.
    */
   private static final double RUN_WEIGHT = 0.25;
 
@@ -51,6 +51,7 @@
 
   /** Running attempts in the last report. */
   private Map<TaskId, Running> runningSince = new HashMap<>();
+
   private double fetchGbPerS;
 
   /** Average logarithm of the ratio of run time to estimate. */
@@ -100,8 +101,7 @@
         }
         if (task.state() == State.RUNNING) {
           Duration since = since(task);
-          running.put(
-              task.task(), new Running(task.attempt(), since == null ? now : since));
+          running.put(task.task(), new Running(task.attempt(), since == null ? now : since));
         }
       } else if (task.cause() == Cause.DONE) {
         Duration since = since(task);
--- a/src/main/java/io/tansystack/schedule/Plan.java
+++ b/src/main/java/io/tansystack/schedule/Plan.java
@@ -46,7 +46,7 @@
    * @param guaranteed whether the job is covered by its team's guarantee
    * @param tasksByZone how many of the job's other tasks run in, or found capacity in, each zone;
    *     empty if zones don't matter for the job. A new machine is useful for these tasks only in a
-   *     zone that the job's zone constraints allow beside the others
+   *     zone that the job's zone constraints allow together with these zones
    */
   public record UnmetDemand(
       String job, JobSpec spec, int tasks, boolean guaranteed, Map<String, Integer> tasksByZone) {}
--- a/src/main/java/io/tansystack/schedule/Preemption.java
+++ b/src/main/java/io/tansystack/schedule/Preemption.java
@@ -52,9 +52,9 @@
   }
 
   /**
-   * Preempts tasks for the job's tasks that found no capacity, where the loss is least first. Each
-   * machine is examined once, and again only after tasks were stopped on it. If there are many
-   * machines to choose from, not all are examined.
+   * Preempts tasks to free capacity for the job's tasks that found none, starting on the machine
+   * where the loss is smallest. Each machine is examined once, and again only after tasks were
+   * stopped on it. If there are many machines to choose from, not all are examined.
    *
    * @param remaining number of tasks that need capacity
    * @param machines eligible machines
--- a/src/main/java/io/tansystack/schedule/RentPlanner.java
+++ b/src/main/java/io/tansystack/schedule/RentPlanner.java
@@ -112,8 +112,9 @@
     if (rentFor(spec, demand.tasks(), demand.tasksByZone()) || spec.kind() != JobKind.GANG) {
       return;
     }
-    // None of the gang's tasks runs yet. If no machines can be rented for the remaining tasks that
-    // go with the zones where the others found capacity, all of its tasks may go elsewhere.
+    // None of the gang's tasks runs yet, so it is not bound to the zones where some of them found
+    // capacity. If the remaining tasks can't get machines that go with those zones, machines for
+    // all of its tasks may be rented elsewhere.
     for (Map<String, Integer> tasksByZone : alternativeZones(spec)) {
       if (rentFor(spec, spec.tasks(), tasksByZone)) {
         return;
@@ -233,7 +234,8 @@
         continue;
       }
       for (String zone : type.zones()) {
-        for (boolean spot : spec.spotAllowed() ? new boolean[] {true, false} : new boolean[] {false}) {
+        for (boolean spot :
+            spec.spotAllowed() ? new boolean[] {true, false} : new boolean[] {false}) {
           MachineOffering offering = new MachineOffering(type.name(), zone, spot);
           if (!allowed(spec, offering, tasksByZone) || blocked.test(offering)) {
             continue;
--- a/src/main/java/io/tansystack/schedule/ReplicaMoves.java
+++ b/src/main/java/io/tansystack/schedule/ReplicaMoves.java
@@ -43,6 +43,7 @@
 
   /** Machines with accelerators that are to be cleared of replicas for waiting jobs. */
   private final Set<MachineCapacity> machinesToClear = new HashSet<>();
+
   private final int maxMoves;
 
   ReplicaMoves(
@@ -97,8 +98,8 @@
     }
     Set<ResourceRequest> unclearable = new HashSet<>();
     for (UnmetDemand demand : plan.unmet()) {
-      // At most maxMoves replicas move at a time, usually no more than one machine has, so there is
-      // no use in clearing more than maxMoves machines.
+      // At most maxMoves replicas move at a time, which is usually no more than a single machine
+      // has, so clearing more than maxMoves machines would be of no use.
       if (machinesToClear.size() >= maxMoves || demand.spec().gpus() <= 0) {
         continue;
       }
@@ -118,7 +119,8 @@
   }
 
   /**
-   * Only a service all of whose replicas are placed, with none being stopped, may have one moved.
+   * Whether a replica of the service may be moved: all of its replicas must be placed, and none of
+   * them may be about to stop.
    */
   private boolean movable(JobState job) {
     JobRecord record = job.record();
@@ -170,7 +172,8 @@
   /** Plans the move of one replica to another machine; false if no other machine can run it. */
   private boolean move(JobState job, AllocatedTasks allocated, MachineCapacity source) {
     JobSpec spec = job.record().spec();
-    Object2IntOpenHashMap<String> zones = ZoneConstraints.tasksByZone(job.record(), clusterCapacity);
+    Object2IntOpenHashMap<String> zones =
+        ZoneConstraints.tasksByZone(job.record(), clusterCapacity);
     zones.addTo(source.state.zone(), -1);
     for (MachineCapacity target : targetFinder.of(job)) {
       if (target != source
--- a/src/main/java/io/tansystack/schedule/TaskPlacer.java
+++ b/src/main/java/io/tansystack/schedule/TaskPlacer.java
@@ -59,10 +59,11 @@
     }
     int tasksPerMachine = clusterCapacity.maxTasksPerMachine(spec);
     return tasksPerMachine == 0
-        || (long) tasksPerMachine * Math.min(maxMachines, limit.maxPlacementsAfterRound(spec)) >= spec.tasks();
+        || (long) tasksPerMachine * Math.min(maxMachines, limit.maxPlacementsAfterRound(spec))
+            >= spec.tasks();
   }
 
-  /** Whether any machine fits one of the job's tasks, also if it is excluded or reserved. */
+  /** Whether any machine fits one of the job's tasks, even if it is excluded or reserved. */
   boolean mayFitAnywhere(JobState job) {
     return !index.possiblyFitting(ResourceRequest.of(job.record().spec())).isEmpty();
   }
@@ -145,8 +146,7 @@
       if (first != null
           && ZoneConstraints.allows(spec, tasksByZone, first)
           && (best == null
-              || tasksByZone.getInt(zone.getKey())
-                  < tasksByZone.getInt(best.state.zone()))) {
+              || tasksByZone.getInt(zone.getKey()) < tasksByZone.getInt(best.state.zone()))) {
         best = first;
       }
     }
@@ -188,10 +188,7 @@
       // With the machines that fit the most tasks, one transaction may be able to include them all.
       picks =
           pickFromBestGroup(
-              spec,
-              tasks.length,
-              candidates.largestFirstForGang(job, machineLimit),
-              machineLimit);
+              spec, tasks.length, candidates.largestFirstForGang(job, machineLimit), machineLimit);
     }
     Map<String, BitSet> chosen = new LinkedHashMap<>();
     for (int i = 0; i < picks.size(); i++) {
@@ -256,7 +253,8 @@
       }
       if (!machine.fitsOne(spec)
           || job.excludedMachines().contains(machine.state.name())
-          || (reservation.strandsAccelerators(spec, machine) && reservation.reservedForOthers(machine))) {
+          || (reservation.strandsAccelerators(spec, machine)
+              && reservation.reservedForOthers(machine))) {
         continue;
       }
       int fits = Math.min(remaining, machine.fits(spec));
--- a/src/test/java/io/tansystack/schedule/IncrementalCapacityTest.java
+++ b/src/test/java/io/tansystack/schedule/IncrementalCapacityTest.java
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Independently of how the planner found the machines: all are open and allowed, none is
-   * overcommitted, and no team exceeds its quota.
+   * Checks, independently of how the planner found the machines, that all of them accept tasks and
+   * are allowed, that none is overcommitted, and that no team exceeds its quota.
    */
   private void assertValid(Plan plan) {
     Map<String, double[]> machineUsage = new TreeMap<>();
@@ -112,7 +112,8 @@
                 assertTrue(
                     spec.allows(machine.type().name(), machine.zone(), machine.spot()),
                     id + " may not run on " + machine);
-                assertTrue(!job.excludedMachines().contains(machine.name()), id + " excludes " + machine);
+                assertTrue(
+                    !job.excludedMachines().contains(machine.name()), id + " excludes " + machine);
                 double[] usage =
                     addUsage(machineUsage, machine.name(), spec, assignment.tasks().size());
                 MachineType type = machine.type();
--- a/src/test/java/io/tansystack/schedule/PlannerTest.java
+++ b/src/test/java/io/tansystack/schedule/PlannerTest.java
@@ -432,7 +432,7 @@
     assertEquals(onWhole, placed);
   }
 
-  /** It would reserve capacity permanently, and machines rented for it would stay idle. */
+  /** Such a gang would reserve capacity permanently; machines rented for it would stay idle. */
   @Test
   void gangTooLargeForOneTransactionReservesNothing() {
     for (int i = 0; i < 4; i++) {
