--- a/src/main/java/io/tansystack/cli/Controller.java
+++ b/src/main/java/io/tansystack/cli/Controller.java
@@ -147,19 +147,22 @@
         RecoveryContext.of(
             loop, store, clusterState, settings, clock, recordTtl,
             new RecoveryContext.PeerHealth(
-                peers::unfitForWorkers, peers::heardFrom, peers::refusesConnections, peers::unresponsive));
+                peers::unfitForWorkers, peers::heardFrom, peers::refusesConnections,
+                peers::unresponsive));
     this.machineTypes = new MachineTypeCatalog(loop, store, clusterState, httpClient, settings);
     this.workerManager =
         new WorkerManager(
             loop, store, httpClient, clusterState, lease, label, incarnation, settings.zone(),
             settings.workerTimings().leaseDuration(), writeRps, peers::unfitForWorkers, recovery,
-            watcher::upToDateBeforeLastUpdate, new WallClockConverter(loop, clock, settings.maxClockSkew()),
+            watcher::upToDateBeforeLastUpdate,
+            new WallClockConverter(loop, clock, settings.maxClockSkew()),
             machineTypes::get, views::get, this::onOwnView);
     this.scheduler =
         new JobScheduler(
             loop, store, clusterState, lease, slotManager, settings, views::get,
             machineTypes::get, this::bootingMachines, pass -> latencies.measure("pass", pass),
-            clock, recovery.fleetCoverage(), peer -> peers.heardFrom(peer) && !peers.unfitForWorkers(peer));
+            clock, recovery.fleetCoverage(),
+            peer -> peers.heardFrom(peer) && !peers.unfitForWorkers(peer));
     this.autoscaler =
         new Autoscaler(
             loop, httpClient, store, clusterState, lease, stallDetector, slotManager,
@@ -257,7 +260,8 @@
   private void logSummary() {
     loop.after(SUMMARY_INTERVAL, this::logSummary);
     log.info(
-        "summary jobs={} machines={} idle={} closed={} unmet={} owned={} valid={} plans={} stalls={} {} count/p50/p99/max{}",
+        "summary jobs={} machines={} idle={} closed={} unmet={} owned={} valid={}"
+            + " plans={} stalls={} {} count/p50/p99/max{}",
         clusterState.jobs().size(),
         clusterState.machines().size(),
         clusterState.machines().keySet().stream()
--- a/src/main/java/io/tansystack/emulator/EmulatedUsers.java
+++ b/src/main/java/io/tansystack/emulator/EmulatedUsers.java
@@ -219,8 +219,8 @@
         timeout,
         new HttpClient.ResponseHandler() {
           @Override
-          public void onResponse(int status, byte[] answer) {
-            callback.onResponse(status, EmulatedFleet.decodeOrNull(answer));
+          public void onResponse(int status, byte[] responseBody) {
+            callback.onResponse(status, EmulatedFleet.decodeOrNull(responseBody));
           }
 
           @Override
--- a/src/main/java/io/tansystack/emulator/ReportSender.java
+++ b/src/main/java/io/tansystack/emulator/ReportSender.java
@@ -116,10 +116,11 @@
         REPORT_TIMEOUT,
         new HttpClient.ResponseHandler() {
           @Override
-          public void onResponse(int status, byte[] answer) {
-            traffic.reportBytes += answer.length + TrafficCounters.RESPONSE_HEADER_BYTES;
+          public void onResponse(int status, byte[] responseBody) {
+            traffic.reportBytes += responseBody.length + TrafficCounters.RESPONSE_HEADER_BYTES;
             inFlight = false;
-            handleReportResponse(status, EmulatedFleet.decodeOrNull(answer), reportSentAt, session);
+            handleReportResponse(
+                status, EmulatedFleet.decodeOrNull(responseBody), reportSentAt, session);
           }
 
           @Override
@@ -130,7 +131,8 @@
         });
   }
 
-  private void handleReportResponse(int status, ObjectNode body, Duration reportSentAt, long session) {
+  private void handleReportResponse(
+      int status, ObjectNode body, Duration reportSentAt, long session) {
     if (stopped) {
       return;
     }
--- a/src/main/java/io/tansystack/http/HttpClient.java
+++ b/src/main/java/io/tansystack/http/HttpClient.java
@@ -24,7 +24,7 @@
    * Sends a request.
    *
    * @param body null for a request without a body
-   * @param timeout without a response by then, the request counts as having none
+   * @param timeout a request without a response within this time counts as having none
    */
   void call(
       InetSocketAddress address,
--- a/src/main/java/io/tansystack/records/JobRecord.java
+++ b/src/main/java/io/tansystack/records/JobRecord.java
@@ -26,9 +26,9 @@
  * @param submittedMs the time at which the job was accepted, in milliseconds since the epoch
  * @param done the tasks that have completed
  * @param attempt the number of the last placement round; 0 if there was none
- * @param cancelledMs the time at which the controller that cancelled the job sent the cancellation to
- *     the state service, in milliseconds since the epoch; 0 if the job wasn't cancelled or the time
- *     isn't recorded
+ * @param cancelledMs the time at which the controller that cancelled the job sent the cancellation
+ *     to the state service, in milliseconds since the epoch; 0 if the job wasn't cancelled or the
+ *     time isn't recorded
  */
 public record JobRecord(
     JobSpec spec,
--- a/src/test/java/io/tansystack/records/JobRecordTest.java
+++ b/src/test/java/io/tansystack/records/JobRecordTest.java
@@ -145,7 +145,8 @@
    */
   @ParameterizedTest
   @CsvSource({
-    "8192,400", "8192,600", "8192,100000", "16384,1200", "16384,100000", "32768,1200", "32768,100000"
+    "8192,400", "8192,600", "8192,100000", "16384,1200", "16384,100000", "32768,1200",
+    "32768,100000"
   })
   void largestRecordFitsIntoOneValue(int valueBytes, int tasks) {
     RecordSizeLimit limit = new RecordSizeLimit(valueBytes);
--- a/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
+++ b/src/test/java/io/tansystack/sim/CancellationDuringOutageTest.java
@@ -79,13 +79,13 @@
    * Refuses the leader alone for a while, then makes the state service unavailable to all
    * controllers.
    */
-  private void refuseThenOutage(int leader, int from, Duration alone, Duration outageLasts) {
-    Duration lead = Duration.ofSeconds(3);
-    cancelThroughOthers(leader, from, lead.plus(alone));
-    loop.runFor(lead);
+  private void refuseThenOutage(int leader, int from, Duration refusedAlone, Duration outageLasts) {
+    Duration headStart = Duration.ofSeconds(3);
+    cancelThroughOthers(leader, from, headStart.plus(refusedAlone));
+    loop.runFor(headStart);
     refusedByStore = leader;
     loop.after(Duration.ofSeconds(14), () -> refusedByStore = -1);
-    loop.runFor(alone);
+    loop.runFor(refusedAlone);
     outage = true;
     loop.runFor(outageLasts);
     outage = false;
@@ -127,12 +127,12 @@
     "owner,    2,   58,  30, 55",
   })
   void workCancelledThroughOtherControllersIsGoneInTime(
-      String target, double alone, double outageS, double lease, double cancel) throws Exception {
+      String target, double refusedAloneS, double outageS, double lease, double cancel) throws Exception {
     startClusterWithJobs(lease, cancel, 76);
-    Duration lasts = Duration.ofMillis((long) (outageS * 1000));
-    refuseThenOutage(holderOf(target), 0, Duration.ofMillis((long) (alone * 1000)), lasts);
+    Duration outageLasts = Duration.ofMillis((long) (outageS * 1000));
+    refuseThenOutage(holderOf(target), 0, Duration.ofMillis((long) (refusedAloneS * 1000)), outageLasts);
     loop.runFor(Duration.ofSeconds(4));
-    refuseThenOutage(holderOf(target), 38, Duration.ofMillis((long) (alone * 1000)), lasts);
+    refuseThenOutage(holderOf(target), 38, Duration.ofMillis((long) (refusedAloneS * 1000)), outageLasts);
     loop.runFor(Duration.ofSeconds(10));
     users.faultsOver();
     loop.runFor(Duration.ofSeconds(130));
@@ -214,7 +214,7 @@
   void delayedLaunchesOfCancelledJobsEndWithTheLease() throws Exception {
     random = new Random(3);
     startClusterWithJobs(18, 43, 10);
-    int busy = jobs;
+    int firstDelayed = jobs;
     delayedCommandShare = 1;
     maxCommandDelay = Duration.ofSeconds(100);
     for (int i = 0; i < 30; i++) {
@@ -223,7 +223,7 @@
     loop.runFor(Duration.ofSeconds(2));
     faultyWritePrefix = "ts/machines/";
     writesOverLimit = true;
-    for (int job = busy; job < jobs; job++) {
+    for (int job = firstDelayed; job < jobs; job++) {
       users.cancel(id(job), job % controllerCount);
     }
     loop.runFor(Duration.ofSeconds(110));
@@ -240,7 +240,7 @@
    * Controllers restart ten times and more, always before they would stop answering reports by
    * themselves. No direct command reaches a machine, while reports arrive. A restarted controller
    * must not count the time of cancelled work from its own first read: each restart would extend it
-   * by another {@code life}. Clocks are off by as much as the settings allow.
+   * by another duration of a controller's lease. Clocks are off by as much as the settings allow.
    */
   @ParameterizedTest
   @CsvSource({"all, 9, 18, 43", "all, 14, 36, 61", "in turn, 3, 18, 43", "in turn, 5, 36, 61", "leader, 8, 36, 61"})
@@ -272,10 +272,10 @@
   }
 
   /**
-   * The owner of most machines crashes for good, and jobs are cancelled at once. Its machines fail
-   * over when their leases have little time left, and longer after the cancellations than reports
-   * of a machine with cancelled work are answered. The cancelled work is stopped first, by
-   * commands, and other work on these machines is kept.
+   * The owner of most machines crashes and does not restart, and jobs are cancelled at once. Its
+   * machines fail over when their leases have little time left, and when the cancellations are
+   * older than the time for which reports of a machine with cancelled work are answered. The
+   * cancelled work is stopped first, by commands, and other work on these machines is kept.
    */
   @Test
   void ownerCrashDuringCancellationsLosesNoOtherWork() throws Exception {
--- a/src/test/java/io/tansystack/sim/ClusterTest.java
+++ b/src/test/java/io/tansystack/sim/ClusterTest.java
@@ -41,15 +41,17 @@
     loop.runFor(Duration.ofSeconds(2));
     ObjectNode[] answer = new ObjectNode[1];
     byte[] other = Cbor.encode(Cbor.map().put("Uid", "wk-000001").put("Wagons", "many"));
-    assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "a repeated submission is accepted with any body");
+    assertEquals(
+        200, callFirstAvailable("POST", "/v1/jobs", other, answer),
+        "a repeated submission is accepted with any body");
     assertEquals("done", answer[0].get("Status").asText());
     assertEquals(200, callFirstAvailable("POST", "/v1/jobs/wk-000001/abort", new byte[0], answer));
     assertEquals("done", answer[0].get("Status").asText());
   }
 
   /**
-   * A description may take at most an eighth of a value of the state service. A job that could
-   * never be recorded is rejected instead of being retried.
+   * A job's description may take at most an eighth of a value of the state service. A job that
+   * could never be recorded is rejected instead of being retried.
    */
   @ParameterizedTest
   @CsvSource({"16.0,201", "8.0,422"})
@@ -82,8 +84,8 @@
   }
 
   /**
-   * The restart of a controller by itself gives its machines a higher fencing token. Claiming
-   * hundreds of machines again would use up the write limit while users wait.
+   * The start of a controller already gives its machines a higher fencing token, without a claim.
+   * Claiming hundreds of machines again would use up the write limit while users wait.
    */
   @Test
   void fullRestartNeedsNoClaimsAndWorkContinues() throws Exception {
@@ -148,8 +150,7 @@
   /**
    * The process of the autoscaler pauses and resumes. The other controllers take over its slots and
    * workers before the workers' leases end. After the pause it must neither treat its machines as
-   * silent, since it was itself that did not run, nor return machines that others have taken over
-   * meanwhile.
+   * silent, since it was paused itself, nor return machines that others have taken over meanwhile.
    */
   @ParameterizedTest
   @ValueSource(ints = {2, 9, 18, 30, 60})
--- a/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/CombinedFaultsTest.java
@@ -25,8 +25,11 @@
 class CombinedFaultsTest extends FaultScenario {
   /**
    * Commands, or their responses, are delayed for less and for more than the owner's timeout, while
-   * the machine is reclaimed, fails over to a successor, begins a new session, or gets the same
+   * the machine is claimed again, fails over to a successor, begins a new session, or gets the same
    * task again.
+   *
+   * @param meanwhile "nothing", "heir" (the leader crashes and its machines fail over), "session"
+   *     (machines hang until new sessions begin), "restart" (controllers restart), or "cancel"
    */
   @ParameterizedTest
   @CsvSource({
@@ -272,7 +275,9 @@
     assertRecovered(change);
     int tasks = users().jobs.values().stream().mapToInt(job -> job.spec.tasks()).sum();
     int lost = workers.values().stream().mapToInt(worker -> worker.lostTaskCount()).sum();
-    assertTrue(startedTasks.size() <= tasks + lost, startedTasks.size() + " starts for " + tasks + " tasks, " + lost + " lost");
+    assertTrue(
+        startedTasks.size() <= tasks + lost,
+        startedTasks.size() + " starts for " + tasks + " tasks, " + lost + " lost");
     assertEquals(tasks, new HashSet<>(completed).size(), "every task completed");
   }
 
@@ -280,25 +285,28 @@
    * The leader crashes while machines with long tasks hang, their reports are lost, or responses
    * and commands don't reach them: for just under and just over a lease, and for much longer. One
    * of these machines has a reclaim notice.
+   *
+   * @param machineFault "hung", "unheard" (reports are lost), or "unhearing" (neither responses nor
+   *     commands arrive)
    */
   @ParameterizedTest
   @CsvSource({
     "unheard, 33", "unheard, 37", "unheard, 90", "unhearing, 33", "unhearing, 37", "unhearing, 90", "hung, 34",
     "hung, 38"
   })
-  void leaderCrashesWhileMachinesAreUnreachable(String how, int seconds) throws Exception {
+  void leaderCrashesWhileMachinesAreUnreachable(String machineFault, int seconds) throws Exception {
     random = new Random(seconds);
     taskRunTime = Duration.ofSeconds(130);
     startWithJobs(3, 15, 18, 2);
-    List<EmulatedWorker> some = List.copyOf(workers.values()).subList(0, 6);
-    for (EmulatedWorker worker : some) {
-      switch (how) {
+    List<EmulatedWorker> unreachable = List.copyOf(workers.values()).subList(0, 6);
+    for (EmulatedWorker worker : unreachable) {
+      switch (machineFault) {
         case "unheard" -> reportsBlocked.add(worker.name());
         case "unhearing" -> inboundBlocked.add(worker.name());
         default -> worker.hangUntil(loop.now().plusSeconds(seconds));
       }
     }
-    some.get(0).reclaimNoticeS(60.0);
+    unreachable.get(0).reclaimNoticeS(60.0);
     loop.runFor(Duration.ofSeconds(1));
     restart(holder("ts/fleet"), 60_000);
     loop.runFor(Duration.ofSeconds(2));
@@ -308,7 +316,7 @@
     reportsBlocked.clear();
     inboundBlocked.clear();
     loop.runFor(Duration.ofSeconds(60));
-    some.get(0).reclaimNoticeS(null);
-    assertRecovered(how + " for " + seconds + " s");
+    unreachable.get(0).reclaimNoticeS(null);
+    assertRecovered(machineFault + " for " + seconds + " s");
   }
 }
--- a/src/test/java/io/tansystack/sim/FairnessChecker.java
+++ b/src/test/java/io/tansystack/sim/FairnessChecker.java
@@ -87,7 +87,7 @@
       }
       Duration since = capacitySince.computeIfAbsent(spec.id(), k -> cluster.loop.now());
       if (cluster.loop.now().minus(since).compareTo(MAX_WAIT_WITH_CAPACITY) > 0) {
-        starvedJobs.add("waits " + spec.id() + " though a machine that fits has room");
+        starvedJobs.add("waits " + spec.id() + " though a machine has capacity for it");
       }
     }
   }
--- a/src/test/java/io/tansystack/sim/FullRestartTest.java
+++ b/src/test/java/io/tansystack/sim/FullRestartTest.java
@@ -17,9 +17,9 @@
 
 /**
  * Startup after all controllers were down: they come back one after the other, without or with
- * other faults. Besides the general rules there must be no storm: no command that a reconciled
- * fleet does not need, no claim of a machine whose owner comes back in time, no rental and no
- * return of machines.
+ * other faults. Besides the general rules, the restart must not cause a storm of needless
+ * operations: no command that a reconciled fleet does not need, no claim of a machine whose owner
+ * comes back in time, no rental and no return of machines.
  */
 class FullRestartTest extends SimCluster {
   private int jobs;
@@ -69,11 +69,11 @@
     }
   }
 
-  /** Random delays in milliseconds within a range; -1 for the first {@code never} controllers. */
-  private List<Integer> restartDelays(int from, int over, int never) {
+  /** Random delays in milliseconds within a range; -1 for the first {@code neverRestarted}. */
+  private List<Integer> restartDelays(int fromMs, int spreadMs, int neverRestarted) {
     List<Integer> delaysMs = new ArrayList<>();
     for (int i = 0; i < controllerCount; i++) {
-      delaysMs.add(i < never ? -1 : from + (over == 0 ? 0 : random.nextInt(over)));
+      delaysMs.add(i < neverRestarted ? -1 : fromMs + (spreadMs == 0 ? 0 : random.nextInt(spreadMs)));
     }
     return delaysMs;
   }
@@ -100,7 +100,7 @@
   @ParameterizedTest
   @CsvSource({
     // Controllers, machines, ms until the first restart, ms over which restarts spread,
-    // controllers that never restart, most ownership writes.
+    // controllers that never restart, maximum of ownership writes.
     "3,  12,  3000,  0,     0, 0",
     "3,  12,  3000,  1500,  0, 0",
     "5,  40,  6000,  2000,  0, 0",
@@ -113,14 +113,15 @@
     "4,  20,  20000, 1500,  0, 0",
   })
   void fullRestartLosesNoWorkAndCausesNoStorm(
-      int controllers, int machines, int first, int over, int never, int maxOwnershipWrites) throws Exception {
+      int controllers, int machines, int fromMs, int spreadMs, int neverRestarted, int maxOwnershipWrites)
+      throws Exception {
     for (int seed = 1; seed <= (machines > 100 ? 1 : 3); seed++) {
       resetCluster(seed);
       startClusterWithWork(controllers, machines);
       long before = ownershipWrites();
       int rentedBefore = cloud.rentals();
-      stopAllControllers(restartDelays(first, over, never));
-      loop.runFor(Duration.ofMillis(first + over + 15_000));
+      stopAllControllers(restartDelays(fromMs, spreadMs, neverRestarted));
+      loop.runFor(Duration.ofMillis(fromMs + spreadMs + 15_000));
       assertNoStorm();
       assertEquals(0, lostTasks(), "no lease ran out");
       assertTrue(
--- a/src/test/java/io/tansystack/sim/JobArchivalTest.java
+++ b/src/test/java/io/tansystack/sim/JobArchivalTest.java
@@ -42,7 +42,9 @@
       String expected = id(i).equals(cancelled) ? "withdrawn" : "done";
       assertEquals(expected, state(id(i)));
       byte[] other = Cbor.encode(Cbor.map().put("Uid", id(i)).put("Wagons", "many"));
-      assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "a repeated submission is accepted with any body");
+      assertEquals(
+          200, callFirstAvailable("POST", "/v1/jobs", other, answer),
+          "a repeated submission is accepted with any body");
       assertEquals(expected, answer[0].get("Status").asText());
       byte[] same = Cbor.encode(spec(id(i), 1).write());
       assertEquals(200, callFirstAvailable("POST", "/v1/jobs", same, answer), "and with any resource request");
@@ -121,7 +123,7 @@
    * Cost of starting three controllers: requests to the state service, how many of them it refused,
    * and the time until the last controller is ready.
    */
-  private record StartupCost(int requests, int refused, Duration took) {}
+  private record StartupCost(int requests, int refused, Duration duration) {}
 
   private StartupCost measureStartup(int ended, Function<String, String> key) throws Exception {
     store.clear();
@@ -133,10 +135,10 @@
     controllerCount = 3;
     store.limits(store.limits().withRequests(200));
     store.resetCounters();
-    Duration from = loop.now();
+    Duration startedAt = loop.now();
     bootAll();
     int[] ready = {0};
-    while (ready[0] < 3 && loop.now().minus(from).compareTo(Duration.ofSeconds(300)) < 0) {
+    while (ready[0] < 3 && loop.now().minus(startedAt).compareTo(Duration.ofSeconds(300)) < 0) {
       loop.runFor(Duration.ofMillis(20));
       ready[0] = 0;
       for (int i = 0; i < 3; i++) {
@@ -145,7 +147,7 @@
             .handleFront("GET", "/up", new byte[0], (status, body, r) -> ready[0] += status == 200 ? 1 : 0);
       }
     }
-    StartupCost start = new StartupCost((int) store.requests(), (int) store.rejected(), loop.now().minus(from));
+    StartupCost start = new StartupCost((int) store.requests(), (int) store.rejected(), loop.now().minus(startedAt));
     killAll();
     return start;
   }
@@ -156,7 +158,7 @@
     StartupCost none = measureStartup(0, ClusterState::archiveKey);
     StartupCost many = measureStartup(ended, ClusterState::archiveKey);
     assertTrue(many.requests <= none.requests * 1.1, none + " and " + many);
-    assertTrue(many.took.toMillis() <= none.took.toMillis() * 1.1, none + " and " + many);
+    assertTrue(many.duration.toMillis() <= none.duration.toMillis() * 1.1, none + " and " + many);
     // Without archival each start reads every outcome, as it does for those not archived yet.
     StartupCost unarchived = measureStartup(ended, ClusterState::jobKey);
     assertTrue(unarchived.requests >= none.requests + 3 * ended / 1000, "" + unarchived);
--- a/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
+++ b/src/test/java/io/tansystack/sim/PartialConnectivityTest.java
@@ -154,10 +154,10 @@
   @Test
   void duplicatedReportOfDeletedMachineIsNotClaimed() throws Exception {
     startClusterWithWork(3, 12, 20);
-    EmulatedWorker gone = workers.values().iterator().next();
-    byte[] body = Cbor.encode(gone.report().write());
+    EmulatedWorker returned = workers.values().iterator().next();
+    byte[] body = Cbor.encode(returned.report().write());
     loop.runFor(Duration.ofSeconds(200));
-    assertTrue(!workers.containsKey(gone.name()), "the idle machine was returned");
+    assertTrue(!workers.containsKey(returned.name()), "the idle machine was returned");
     long before = store.writes("ts/lots/") + store.writes("ts/machines/");
     int[] status = new int[controllerCount];
     for (int i = 0; i < controllerCount; i++) {
@@ -174,18 +174,18 @@
   private void injectRandomFault() {
     List<EmulatedWorker> all = List.copyOf(workers.values());
     int victim = random.nextInt(controllerCount);
-    Duration lasts = Duration.ofMillis(300 + random.nextInt(50_000));
+    Duration duration = Duration.ofMillis(300 + random.nextInt(50_000));
     switch (random.nextInt(9)) {
       case 0 -> {
         List<String> names = new ArrayList<>();
         all.subList(0, all.size() * 2 / 5).forEach(worker -> names.add(worker.name()));
         inboundBlocked.addAll(names);
-        loop.after(lasts, () -> inboundBlocked.removeAll(names));
+        loop.after(duration, () -> inboundBlocked.removeAll(names));
       }
       case 1 -> duplicateReportShare = random.nextDouble();
       case 2, 3 -> {
         cutOffFromStoreAndPeers.add(victim);
-        loop.after(lasts, () -> cutOffFromStoreAndPeers.remove(victim));
+        loop.after(duration, () -> cutOffFromStoreAndPeers.remove(victim));
       }
       case 4, 5 -> restartQuickly(victim, 1 + random.nextInt(2));
       case 6 -> {
@@ -193,10 +193,10 @@
           restartQuickly(i, 1);
         }
       }
-      case 7 -> processes.get(victim).freeze(lasts);
+      case 7 -> processes.get(victim).freeze(duration);
       default -> {
         outage = true;
-        loop.after(lasts.dividedBy(3), () -> outage = false);
+        loop.after(duration.dividedBy(3), () -> outage = false);
       }
     }
   }
--- a/src/test/java/io/tansystack/sim/RandomFaultRun.java
+++ b/src/test/java/io/tansystack/sim/RandomFaultRun.java
@@ -149,7 +149,7 @@
     Set<String> violations = new LinkedHashSet<>(users.checker().finalViolations());
     users.jobs.forEach((id, job) -> {
       if (!job.isFinished()) {
-        violations.add("never over: " + id + " " + job.lastState);
+        violations.add("not finished: " + id + " " + job.lastState);
       }
     });
     return violations;
--- a/src/test/java/io/tansystack/sim/RandomFaultsTest.java
+++ b/src/test/java/io/tansystack/sim/RandomFaultsTest.java
@@ -28,7 +28,9 @@
   static LongStream seeds() {
     String requested = System.getProperty("tansystack.pairs", "");
     if (requested.isEmpty()) {
-      LongStream wide = LongStream.rangeClosed(RandomFaultRun.LAST_NARROW_SEED + 11, RandomFaultRun.LAST_NARROW_SEED + 50);
+      LongStream wide =
+          LongStream.rangeClosed(
+              RandomFaultRun.LAST_NARROW_SEED + 11, RandomFaultRun.LAST_NARROW_SEED + 50);
       return LongStream.concat(
           LongStream.concat(LongStream.rangeClosed(1, 40), LongStream.of(REGRESSION_SEEDS)), wide);
     }
--- a/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionBurstTest.java
@@ -50,7 +50,9 @@
     assertEquals("404", state("wk-000099"));
     assertEquals(404, callFirstAvailable("POST", "/v1/jobs/wk-000099/abort", new byte[0], answer));
     byte[] other = Cbor.encode(Cbor.map().put("Uid", "wk-000008").put("Wagons", "many"));
-    assertEquals(200, callFirstAvailable("POST", "/v1/jobs", other, answer), "a repeated submission is accepted with any body");
+    assertEquals(
+        200, callFirstAvailable("POST", "/v1/jobs", other, answer),
+        "a repeated submission is accepted with any body");
     assertEquals(200, callFirstAvailable("POST", "/v1/jobs/wk-000009/abort", new byte[0], answer));
     assertEquals("withdrawn", state("wk-000009"));
 
@@ -76,14 +78,14 @@
     loop.runFor(Duration.ofSeconds(10));
     Map<String, Duration> answers = new TreeMap<>();
     byte[] bad = Cbor.encode(Cbor.map().put("Uid", "wk-000099").put("Wagons", "many"));
-    Duration asked = loop.now();
+    Duration requestedAt = loop.now();
     processes.get(0).run(() -> controllers.get(0).handleFront("POST", "/v1/jobs", bad,
-        (status, bytes, r) -> answers.put("bad " + status, loop.now().minus(asked))));
+        (status, bytes, r) -> answers.put("bad " + status, loop.now().minus(requestedAt))));
     processes.get(0).run(() -> controllers.get(0).handleFront("POST", "/v1/jobs/wk-000098/abort", new byte[0],
-        (status, bytes, r) -> answers.put("abort " + status, loop.now().minus(asked))));
+        (status, bytes, r) -> answers.put("abort " + status, loop.now().minus(requestedAt))));
     loop.runFor(Duration.ofSeconds(3));
     assertEquals(Set.of("bad 400", "abort 404"), answers.keySet());
-    answers.forEach((what, after) -> assertTrue(after.toMillis() <= 50, what + " after " + after));
+    answers.forEach((request, after) -> assertTrue(after.toMillis() <= 50, request + " after " + after));
   }
 
   @Test
--- a/src/test/java/io/tansystack/sim/SubmissionValidationTest.java
+++ b/src/test/java/io/tansystack/sim/SubmissionValidationTest.java
@@ -133,7 +133,13 @@
     int[] status = new int[3];
     for (int i = 0; i < 3; i++) {
       int at = i;
-      processes.get(i).run(() -> controllers.get(at).handleFront("POST", "/v1/jobs", body, (s, b, r) -> status[at] = s));
+      processes
+          .get(i)
+          .run(
+              () ->
+                  controllers
+                      .get(at)
+                      .handleFront("POST", "/v1/jobs", body, (s, b, r) -> status[at] = s));
     }
     loop.runFor(Duration.ofSeconds(2));
     return status;
@@ -194,11 +200,11 @@
     loop.runFor(Duration.ofSeconds(afterS));
     List<Map<String, Consumer<ObjectNode>>> all = List.of(malformed(), impossible(), possible());
     for (Map<String, Consumer<ObjectNode>> cases : all) {
-      cases.forEach((what, change) -> {
+      cases.forEach((name, change) -> {
         ObjectNode body = validJob("wk-000001");
         change.accept(body);
         if (body.path("Uid").asText().equals("wk-000001")) {
-          assertAllAnswer(what, body, 200);
+          assertAllAnswer(name, body, 200);
         }
       });
     }
--- a/src/test/java/io/tansystack/sim/TakeoverTest.java
+++ b/src/test/java/io/tansystack/sim/TakeoverTest.java
@@ -21,6 +21,9 @@
    * Both teams have far more work than their limits of CPUs and GPUs allow. Jobs on machines that
    * are cut off or hang are cancelled, and the leader changes. Unreachable tasks count against the
    * limits until their end is proven, and free quota is used.
+   *
+   * @param machineFault "hung", "unheard" (reports are lost), "unhearing" (neither responses nor
+   *     commands arrive), or "uncommanded" (commands are lost)
    */
   @ParameterizedTest
   @CsvSource({
@@ -79,15 +82,15 @@
     "ts/fleet, frozen, 9000", "ts/fleet, silent, 20000", "ts/slots/0, ends, 4000", "ts/slots/5, blinks, 0",
     "ts/slots/3, refused, 20000", "ts/fleet, rolling, 0", "ts/fleet, all end, 3000", "ts/slots/7, frozen, 20000"
   })
-  void cancellationsAtEachStepOfATakeover(String key, String change, int lastsMs) throws Exception {
+  void cancellationsAtEachStepOfATakeover(String key, String change, int durationMs) throws Exception {
     for (int controllers : new int[] {3, 5}) {
       TakeoverTest test = new TakeoverTest();
       test.random = new Random(controllers);
-      test.cancelThroughout(controllers, key, change, Duration.ofMillis(lastsMs));
+      test.cancelThroughout(controllers, key, change, Duration.ofMillis(durationMs));
     }
   }
 
-  private void cancelThroughout(int controllers, String key, String change, Duration lasts) throws Exception {
+  private void cancelThroughout(int controllers, String key, String change, Duration duration) throws Exception {
     taskRunTime = Duration.ofSeconds(60);
     users().queryAllOnChange = true;
     startWithJobs(controllers, 16, 40, 1);
@@ -104,7 +107,7 @@
       }
     }
     loop.runFor(Duration.ofMillis(2000));
-    inject(change, victim, lasts);
+    inject(change, victim, duration);
     for (int i = 0; i < 6; i++) {
       submitJobs(1, 2);
       loop.runFor(Duration.ofSeconds(5));
--- a/src/test/java/io/tansystack/sim/ZonePartitionTest.java
+++ b/src/test/java/io/tansystack/sim/ZonePartitionTest.java
@@ -68,15 +68,15 @@
   @ParameterizedTest
   @MethodSource("cuts")
   void workOnMachinesWithCancelledJobsStartsNowhereElseWhileTheirLeasesRun(
-      Duration cut, int lease, int cancel) throws Exception {
-    random = new Random(cut.toMillis());
+      Duration partition, int lease, int cancel) throws Exception {
+    random = new Random(partition.toMillis());
     workInZoneB(lease, cancel, 4);
     cutZoneB();
     for (int i = 0; i < CANCELLED; i++) {
       String id = id(i * JOBS / CANCELLED);
       loop.after(Duration.ofMillis(500 + 200L * i), () -> users().cancel(id, 0));
     }
-    loop.runFor(cut);
+    loop.runFor(partition);
     partitionedZone = null;
     loop.runFor(Duration.ofSeconds(15));
     assertEquals(Set.of(), users().checker().violations);
@@ -111,8 +111,8 @@
     if (draw.nextInt(4) == 0) {
       loop.after(Duration.ofMillis(draw.nextInt(times[0] * 1000)), () -> restart(0, 500 + draw.nextInt(5000)));
     }
-    // From the earliest possible end of the first failover's bound until the last lease renewed
-    // inside ends.
+    // The partition ends between the earliest moment at which the bound of the first failover may
+    // have passed and the end of the last lease that was renewed inside.
     loop.runFor(Duration.ofMillis(times[0] * 1000L + 3000 + draw.nextInt(16_000)));
     delayedCommandShare = draw.nextInt(3) == 0 ? 0.5 : 0;
     maxCommandDelay = Duration.ofSeconds(5);
--- a/src/test/java/io/tansystack/wire/ReportTest.java
+++ b/src/test/java/io/tansystack/wire/ReportTest.java
@@ -101,7 +101,7 @@
           unknown    | {"New":{"a":[1,{"b":2}]},"Newer":[[1],2]}       | true
           no tasks   | {"Wagons":[]}                                   | true
           ended      | {"Wagons":[{"Wagon":"wk-1/2","Departure":3,"Status":"ended","Cause":"done"}]} | true
-          later word | {"Wagons":[{"Wagon":"wk-1/2","Departure":3,"Status":"ended","Cause":"new"}]}  | true
+          new cause  | {"Wagons":[{"Wagon":"wk-1/2","Departure":3,"Status":"ended","Cause":"new"}]}  | true
           saved      | {"Wagons":[{"Wagon":"wk-1/2","Departure":3,"Status":"ended","Cause":"halted","Stored":true,"X":{}}]} | true
           no cause   | {"Wagons":[{"Wagon":"wk-1/2","Departure":3,"Status":"ended"}]}   | true
           bad state  | {"Wagons":[{"Wagon":"wk-1/2","Departure":3,"Status":"asleep"}]}  | false
